--- a/crates/balance/src/back_end.rs
+++ b/crates/balance/src/back_end.rs
@@ -60,12 +60,12 @@
     }
 
     /// Whether new work may go there.
-    pub fn takes_work(&self, now: Timestamp) -> bool {
+    pub fn accepts_requests(&self, now: Timestamp) -> bool {
         self.is_in_use() && !self.is_ejected(now) && !self.is_resting(now)
     }
 
     /// When its rest is over, if that is all that keeps it from new work.
-    pub fn open_from(&self, now: Timestamp) -> Option<Timestamp> {
+    pub fn available_from(&self, now: Timestamp) -> Option<Timestamp> {
         let rests_alone = self.is_in_use() && !self.is_ejected(now) && self.is_resting(now);
         rests_alone.then_some(self.rests_until)
     }
@@ -80,7 +80,7 @@
     }
 
     /// It has turned a request away and wants none for `rest`. Where wishes overlap, the later end counts.
-    pub fn on_rest(&mut self, now: Timestamp, rest: Millis) {
+    pub fn on_backoff(&mut self, now: Timestamp, rest: Millis) {
         self.rests_until = self.rests_until.max(now + rest);
     }
 
--- a/crates/balance/src/balancer.rs
+++ b/crates/balance/src/balancer.rs
@@ -56,7 +56,7 @@
     /// Every back end that takes work has as many requests as allowed.
     AllBusy,
     /// Those that would take work have asked for rest, the first of them until then.
-    AllRest(Timestamp),
+    AllBackingOff(Timestamp),
     /// No back end takes work.
     NoneAvailable,
 }
@@ -111,8 +111,8 @@
             let Some(back_end) = self.back_ends.get(name) else {
                 continue;
             };
-            if query.tried.contains(name) || !back_end.takes_work(now) {
-                let opens = back_end.open_from(now);
+            if query.tried.contains(name) || !back_end.accepts_requests(now) {
+                let opens = back_end.available_from(now);
                 soonest = soonest.into_iter().chain(opens).min();
                 continue;
             }
@@ -129,7 +129,7 @@
         if candidates.is_empty() {
             return match soonest {
                 _ if any_takes_work => Choice::AllBusy,
-                Some(soonest) => Choice::AllRest(soonest),
+                Some(soonest) => Choice::AllBackingOff(soonest),
                 None => Choice::NoneAvailable,
             };
         }
@@ -153,7 +153,7 @@
 
 fn score(name: &BackEndName, back_end: &BackEnd, query: &Query<'_>) -> Candidate {
     let load = back_end.estimated_load();
-    let cached_blocks = back_end.cache.matching(query.blocks);
+    let cached_blocks = back_end.cache.cached_prefix_len(query.blocks);
     let same_zone = back_end.row.zone == *query.zone;
     let weight = u64::from(back_end.row.weight.max(1));
     let load_cost = u64::from(load) * LOAD_COST * REFERENCE_WEIGHT / weight;
--- a/crates/balance/src/lib.rs
+++ b/crates/balance/src/lib.rs
@@ -13,5 +13,5 @@
 pub use back_end::{BackEnd, LoadReport};
 pub use balancer::{Balancer, Candidate, Choice, Query};
 pub use prefix::{BLOCK_BYTES, BlockHash, CacheChange, CacheIndex, CacheUpdate, block_hashes};
-pub use queue::{FairQueue, Pushed};
+pub use queue::{FairQueue, PushOutcome};
 pub use retry::RetryBudget;
--- a/crates/balance/src/prefix.rs
+++ b/crates/balance/src/prefix.rs
@@ -44,7 +44,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheUpdate {
     /// It did.
-    Followed,
+    Applied,
     /// Events are missing; the whole cache must be read again.
     Gap,
 }
@@ -66,7 +66,7 @@
 
     /// Takes in events, the first of them numbered `first`. Events seen before are skipped. After
     /// a gap the index is empty, so that it claims nothing, until it is replaced.
-    pub fn follow(&mut self, first: u64, changes: &[CacheChange]) -> CacheUpdate {
+    pub fn apply_events(&mut self, first: u64, changes: &[CacheChange]) -> CacheUpdate {
         let Some(next) = self.next else {
             return CacheUpdate::Gap;
         };
@@ -79,7 +79,7 @@
             self.apply(change);
         }
         self.next = Some(next.max(first + changes.len() as u64));
-        CacheUpdate::Followed
+        CacheUpdate::Applied
     }
 
     /// Replaces the index by the whole cache as of event `next`.
@@ -92,14 +92,14 @@
 
     /// Notes blocks that an engine will hold because a request was just sent to it, before its
     /// own events say so.
-    pub fn expect(&mut self, blocks: &[BlockHash]) {
+    pub fn assume_cached(&mut self, blocks: &[BlockHash]) {
         for block in blocks {
             self.insert(*block);
         }
     }
 
     /// Number of leading blocks of a prompt that are held.
-    pub fn matching(&self, blocks: &[BlockHash]) -> usize {
+    pub fn cached_prefix_len(&self, blocks: &[BlockHash]) -> usize {
         blocks.iter().take_while(|block| self.blocks.contains(block)).count()
     }
 
--- a/crates/balance/src/queue.rs
+++ b/crates/balance/src/queue.rs
@@ -5,7 +5,7 @@
 
 /// Outcome of adding to a queue.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Pushed<T> {
+pub enum PushOutcome<T> {
     /// It waits.
     Queued,
     /// The queue is full and the tenant has its share: the new item is not taken.
@@ -60,12 +60,12 @@
         priority: i32,
         item: T,
         limit: usize,
-    ) -> Pushed<T> {
+    ) -> PushOutcome<T> {
         let mut evicted = None;
         if self.length >= limit {
             match self.most_over_share(tenant, weight, limit) {
                 Some(victim) => evicted = self.remove_newest(&victim),
-                None => return Pushed::Refused(item),
+                None => return PushOutcome::Refused(item),
             }
         }
         let now = self.virtual_time;
@@ -81,8 +81,8 @@
         lane.items.insert(position.unwrap_or(lane.items.len()), (priority, item));
         self.length += 1;
         match evicted {
-            Some(item) => Pushed::Evicted(item),
-            None => Pushed::Queued,
+            Some(item) => PushOutcome::Evicted(item),
+            None => PushOutcome::Queued,
         }
     }
 
--- a/crates/balance/src/retry.rs
+++ b/crates/balance/src/retry.rs
@@ -20,13 +20,13 @@
 
 impl RetryBudget {
     /// Notes a first attempt.
-    pub fn earn(&mut self, retry_permille: u32) {
+    pub fn deposit(&mut self, retry_permille: u32) {
         let saved = self.saved + u64::from(retry_permille);
         self.saved = saved.min(MAX_SAVED_RETRIES * RETRY_COST);
     }
 
     /// Whether a retry may be made now; counts it if so.
-    pub fn try_spend(&mut self) -> bool {
+    pub fn try_withdraw(&mut self) -> bool {
         if self.saved < RETRY_COST {
             return false;
         }
--- a/crates/balance/tests/choice.rs
+++ b/crates/balance/tests/choice.rs
@@ -69,12 +69,15 @@
     let blocks = block_hashes("m", &"y".repeat(3 * BLOCK_BYTES));
     let stored = |block: &BlockHash| CacheChange::Stored(*block);
     let mut index = CacheIndex::default();
-    assert_eq!(index.follow(0, &[stored(&blocks[0])]), CacheUpdate::Gap);
+    assert_eq!(index.apply_events(0, &[stored(&blocks[0])]), CacheUpdate::Gap);
     index.replace(4, &blocks[..1]);
-    assert_eq!(index.follow(3, &[stored(&blocks[0]), stored(&blocks[1])]), CacheUpdate::Followed);
-    assert_eq!((index.matching(&blocks), index.next_sequence()), (2, Some(5)));
-    assert_eq!(index.follow(6, &[stored(&blocks[2])]), CacheUpdate::Gap);
-    assert_eq!((index.matching(&blocks), index.next_sequence()), (0, None));
+    assert_eq!(
+        index.apply_events(3, &[stored(&blocks[0]), stored(&blocks[1])]),
+        CacheUpdate::Applied
+    );
+    assert_eq!((index.cached_prefix_len(&blocks), index.next_sequence()), (2, Some(5)));
+    assert_eq!(index.apply_events(6, &[stored(&blocks[2])]), CacheUpdate::Gap);
+    assert_eq!((index.cached_prefix_len(&blocks), index.next_sequence()), (0, None));
 }
 
 /// A wish is no guess: no such back end is tried for want of another, whatever it reports meanwhile.
@@ -82,16 +85,16 @@
 fn a_back_end_that_asked_for_rest_is_left_alone_until_its_end() {
     let mut balancer = balancer(&[("one", "a"), ("two", "a")]);
     let [one, two] = ["one", "two"].map(BackEndName::new);
-    balancer.get_mut(&one).expect("there").on_rest(Timestamp(100), Millis(3_000));
+    balancer.get_mut(&one).expect("there").on_backoff(Timestamp(100), Millis(3_000));
     assert_eq!(winner(choose(&balancer, 101, &[], true)), "two");
-    balancer.get_mut(&two).expect("there").on_rest(Timestamp(200), Millis(1_000));
-    balancer.get_mut(&two).expect("there").on_rest(Timestamp(300), Millis(100));
+    balancer.get_mut(&two).expect("there").on_backoff(Timestamp(200), Millis(1_000));
+    balancer.get_mut(&two).expect("there").on_backoff(Timestamp(300), Millis(100));
     balancer.get_mut(&two).expect("there").on_report(Timestamp(400), LoadReport::default());
     balancer.get_mut(&two).expect("there").on_success();
-    assert_eq!(choose(&balancer, 1_199, &[], true), Choice::AllRest(Timestamp(1_200)));
+    assert_eq!(choose(&balancer, 1_199, &[], true), Choice::AllBackingOff(Timestamp(1_200)));
     assert_eq!(winner(choose(&balancer, 1_200, &[], true)), "two");
     balancer.get_mut(&two).expect("there").on_platform(true);
-    assert_eq!(choose(&balancer, 1_200, &[], true), Choice::AllRest(Timestamp(3_100)));
+    assert_eq!(choose(&balancer, 1_200, &[], true), Choice::AllBackingOff(Timestamp(3_100)));
     assert_eq!(winner(choose(&balancer, 3_100, &[], true)), "one");
 }
 
@@ -125,11 +128,11 @@
     let mut queue = FairQueue::default();
     let (loud, quiet) = (TenantName::new("loud"), TenantName::new("quiet"));
     for item in 0..4 {
-        assert_eq!(queue.push(&loud, 1, 0, item, 4), Pushed::Queued);
+        assert_eq!(queue.push(&loud, 1, 0, item, 4), PushOutcome::Queued);
     }
-    assert_eq!(queue.push(&loud, 1, 0, 9, 4), Pushed::Refused(9));
-    assert_eq!(queue.push(&quiet, 1, 0, 100, 4), Pushed::Evicted(3));
-    assert_eq!(queue.push(&loud, 1, 5, 50, 5), Pushed::Queued);
+    assert_eq!(queue.push(&loud, 1, 0, 9, 4), PushOutcome::Refused(9));
+    assert_eq!(queue.push(&quiet, 1, 0, 100, 4), PushOutcome::Evicted(3));
+    assert_eq!(queue.push(&loud, 1, 5, 50, 5), PushOutcome::Queued);
     let order: Vec<i32> = std::iter::from_fn(|| queue.pop_if(|_| true)).collect();
     assert_eq!(order, vec![50, 100, 0, 1, 2], "priority within a tenant, turns among tenants");
     assert!(queue.is_empty());
@@ -138,11 +141,11 @@
 #[test]
 fn retries_stay_a_share_of_first_attempts() {
     let mut budget = RetryBudget::default();
-    while budget.try_spend() {}
+    while budget.try_withdraw() {}
     let mut retries = 0;
     for _ in 0..1_000 {
-        budget.earn(100);
-        retries += u32::from(budget.try_spend());
+        budget.deposit(100);
+        retries += u32::from(budget.try_withdraw());
     }
     assert_eq!(retries, 100);
 }
--- a/crates/bench/src/departures.rs
+++ b/crates/bench/src/departures.rs
@@ -3,9 +3,9 @@
 //! no sockets: what is told arrives at once, and routers confirm it every [`CONFIRM_INTERVAL`] milliseconds.
 
 use clap::ArgMatches;
-use stackpost_coordinator::{Command, FleetMessage, FleetState, Told};
+use stackpost_coordinator::{Command, DeliveryTracker, FleetMessage, FleetState};
 use stackpost_gateway_core::{
-    DepartureChange, DepartureWord, EngineDirectory, EngineNotice, EngineState, KnownDepartures,
+    DepartureChange, DepartureRecord, EngineDirectory, EngineNotice, EngineState, KnownDepartures,
 };
 use stackpost_types::{BackEndName, Millis, Timestamp};
 use std::time::Instant;
@@ -25,8 +25,8 @@
 /// What one control process has told one router.
 #[derive(Clone, Copy, Default)]
 struct Link {
-    engines: Told,
-    departures: Told,
+    engines: DeliveryTracker,
+    departures: DeliveryTracker,
 }
 
 struct Router {
@@ -66,7 +66,7 @@
 impl Simulation {
     fn new(routers: usize, engines: usize) -> Self {
         let router = || Router {
-            directory: EngineDirectory::following(),
+            directory: EngineDirectory::follower(),
             departures: KnownDepartures::default(),
             links: [Link::default(); CONTROL],
         };
@@ -95,12 +95,13 @@
     }
 
     /// An engine leaves: its word is written down and taken over everywhere.
-    fn leave(&mut self, now: Timestamp, engine: &BackEndName) {
+    fn mark_gone(&mut self, now: Timestamp, engine: &BackEndName) {
         for directory in &mut self.control {
-            directory.leave(now, engine);
+            directory.mark_gone(now, engine);
         }
-        let word = DepartureWord { engine: engine.clone(), state: EngineState::Gone, sequence: 41 };
-        let command = Command::Departures(DepartureChange::Said(vec![word]));
+        let word =
+            DepartureRecord { engine: engine.clone(), state: EngineState::Gone, sequence: 41 };
+        let command = Command::Departures(DepartureChange::Announced(vec![word]));
         self.entry_bytes += postcard::to_stdvec(&command).expect("it can be encoded").len() as u64;
         self.state.apply(command);
     }
@@ -110,7 +111,7 @@
         let telling = if by_all { CONTROL } else { 1 };
         for router in &mut self.routers {
             for (directory, link) in self.control[..telling].iter().zip(&mut router.links) {
-                if let Some(base) = link.engines.send(now, directory.revision()) {
+                if let Some(base) = link.engines.begin_send(now, directory.revision()) {
                     let news = directory.changes_since(now, base);
                     for notice in &news.notices {
                         router.directory.merge(now, notice.clone());
@@ -120,9 +121,9 @@
                 }
             }
             let leader = &mut router.links[0].departures;
-            if let Some(base) = leader.send(now, self.state.departures.revision()) {
+            if let Some(base) = leader.begin_send(now, self.state.departures.revision()) {
                 let news = self.state.departures.since(base);
-                router.departures.take_in(now, &news);
+                router.departures.merge_delta(now, &news);
                 self.bytes += size(&FleetMessage::Departures(news)) as u64;
                 self.messages += 1;
             }
@@ -151,7 +152,7 @@
         let now = START + Millis(passed);
         simulation.announce(now, &notice(engine, true));
         simulation.tell(now, false);
-        simulation.leave(now, &notice(engine, false).engine);
+        simulation.mark_gone(now, &notice(engine, false).engine);
         simulation.tell(now, false);
         if passed >= passed_on_at + PASS_ON_INTERVAL {
             passed_on_at = passed;
--- a/crates/bench/src/rates.rs
+++ b/crates/bench/src/rates.rs
@@ -7,8 +7,8 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use stackpost_gateway_core::{
-    EngineDirectory, EngineNotice, EnginePermits, EngineRecord, EngineState, LoadShedding,
-    PermitOutlook, PermitScope, RateNews, RateStatement, RequestClass,
+    EngineDirectory, EngineNotice, EnginePermits, EngineRecord, EngineState, LoadShedder,
+    PermitAvailability, PermitScope, RateStatement, RateUpdate, RequestClass,
 };
 use stackpost_types::{BackEndName, Millis, RequestRate, ServiceName, Timestamp};
 use std::collections::{BTreeMap, HashMap};
@@ -37,7 +37,7 @@
 
 struct Router {
     permits: EnginePermits,
-    shedding: LoadShedding,
+    shedding: LoadShedder,
 }
 
 /// What was counted.
@@ -105,7 +105,7 @@
             let mut permits = EnginePermits::new(address(own));
             let others = (0..routers).filter(|one| *one != own);
             permits.set_others(Timestamp(0), &others.map(address).collect::<Vec<_>>());
-            Router { permits, shedding: LoadShedding::default() }
+            Router { permits, shedding: LoadShedder::default() }
         };
         Self {
             rng,
@@ -123,8 +123,8 @@
     fn request(&mut self, router: usize, now: Timestamp) {
         let lot: u64 = self.rng.random();
         let Router { permits, shedding, .. } = &mut self.routers[router];
-        let outlook = permits.outlook(now, self.engines.iter());
-        if outlook != PermitOutlook::Unlimited {
+        let availability = permits.availability(now, self.engines.iter());
+        if availability != PermitAvailability::Unlimited {
             let class = RequestClass { priority: 1, tenant: None };
             let owned = permits.owned_rate(|_| true);
             if !shedding.admits(now, &self.service, &class, owned, lot >> 32) {
@@ -132,8 +132,8 @@
                 return;
             }
         }
-        if matches!(outlook, PermitOutlook::Spent { soonest, .. } if soonest > PATIENCE) {
-            shedding.on_short(now, &self.service);
+        if matches!(availability, PermitAvailability::Spent { soonest, .. } if soonest > PATIENCE) {
+            shedding.on_no_permit(now, &self.service);
             self.counts.refused += 1;
             return;
         }
@@ -157,7 +157,7 @@
                 return self.send(router, engine, now);
             }
         }
-        self.routers[router].shedding.on_short(now, &self.service);
+        self.routers[router].shedding.on_no_permit(now, &self.service);
         self.counts.refused += 1;
     }
 
@@ -174,7 +174,7 @@
             owned.find(|one| lending.has_room(now, &self.engines[*one], PermitScope::Rate));
         if let Some(engine) = engine {
             lending.take(now, &self.engines[engine].notice.engine, PermitScope::Rate);
-        } else if let Some(wait) = lending.next_own(now, |_| true) {
+        } else if let Some(wait) = lending.next_owned_permit(now, |_| true) {
             self.routers[router].permits.on_spent(now, own, &self.service, wait);
         }
         engine
@@ -185,12 +185,12 @@
         self.counts.sent += 1;
         self.arrivals[engine].push(now.0);
         let statement = self.rates[engine].map_or(RateStatement::Unlimited, |rate| {
-            RateStatement::Limited(RequestRate::per_thousand_seconds((rate * 1_000.0) as u32))
+            RateStatement::Limited(RequestRate::from_milli_rps((rate * 1_000.0) as u32))
         });
         let name = &self.engines[engine].notice.engine;
         let Router { permits, .. } = &mut self.routers[router];
         if permits.learn(now, name, now, statement).is_some() {
-            let news = permits.rates().news_of(now, name);
+            let news = permits.rates().update_for(now, name);
             let owner = permits.owner(name).map(number_of);
             if let (Some(news), Some(owner)) = (news, owner.filter(|owner| *owner != router)) {
                 self.tell_one(owner, &[news], now);
@@ -202,10 +202,10 @@
     fn tell(&mut self, now: Timestamp) {
         for router in 0..self.routers.len() {
             let permits = &mut self.routers[router].permits;
-            let news = permits.rates_mut().take_news(now);
-            let (own, others): (Vec<RateNews>, Vec<RateNews>) =
+            let news = permits.rates_mut().take_updates(now);
+            let (own, others): (Vec<RateUpdate>, Vec<RateUpdate>) =
                 news.into_iter().partition(|one| permits.owns(&one.engine));
-            let mut by_owner: BTreeMap<usize, Vec<RateNews>> = BTreeMap::new();
+            let mut by_owner: BTreeMap<usize, Vec<RateUpdate>> = BTreeMap::new();
             for one in others {
                 if let Some(owner) = self.routers[router].permits.owner(&one.engine) {
                     by_owner.entry(number_of(owner)).or_default().push(one);
@@ -221,12 +221,12 @@
         }
     }
 
-    fn tell_one(&mut self, to: usize, news: &[RateNews], now: Timestamp) {
+    fn tell_one(&mut self, to: usize, news: &[RateUpdate], now: Timestamp) {
         for part in news.chunks(STATEMENTS_PER_DATAGRAM) {
             self.count_datagram(part.len() * STATEMENT);
         }
         for one in news {
-            self.routers[to].permits.learn_told(now, one);
+            self.routers[to].permits.learn_from_peer(now, one);
         }
     }
 
--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -68,7 +68,7 @@
     }
 
     /// Moves the clock on as a suspension of the machine does: timers and sockets have seen nothing of the time.
-    pub fn suspend(&self, time: Duration) {
+    pub fn simulate_suspend(&self, time: Duration) {
         self.ahead.fetch_add(time.as_millis() as u64, Ordering::Relaxed);
     }
 }
--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -1,6 +1,6 @@
 //! Elections: pre-vote, vote, and the change of roles.
 
-use crate::election_event::{ElectionEvent, Refusal};
+use crate::election_event::{ElectionEvent, VoteRefusal};
 use crate::message::*;
 use crate::raft::{Progress, Raft, Role};
 use stackpost_types::MachineName;
@@ -28,7 +28,7 @@
         self.just_started = [self.config.name.clone()].into();
         self.retry_campaign_soon();
         let term = self.hard_state.term + 1;
-        self.elections.push(ElectionEvent::PreVoteAsked { term });
+        self.elections.push(ElectionEvent::PreVoteRequested { term });
         let (last_index, last_term) = (self.log.last_index(), self.log.last_term());
         for other in self.other_voters() {
             self.send(other, Message::PreVote { term, last_index, last_term });
@@ -36,7 +36,7 @@
         self.count_pre_votes();
     }
 
-    fn start_vote(&mut self, nobody_leads: bool) {
+    fn start_vote(&mut self, no_live_leader: bool) {
         let term = self.hard_state.term + 1;
         self.role = Role::Candidate;
         self.elections.push(ElectionEvent::Campaigned { term });
@@ -45,7 +45,7 @@
         self.reset_campaign_timer();
         let (last_index, last_term) = (self.log.last_index(), self.log.last_term());
         for other in self.other_voters() {
-            self.send(other, Message::Vote { term, last_index, last_term, nobody_leads });
+            self.send(other, Message::Vote { term, last_index, last_term, no_live_leader });
         }
         self.count_votes();
     }
@@ -58,11 +58,11 @@
         last_term: Term,
     ) {
         let refusal = self.pre_vote_refusal(&from, term, last_index, last_term);
-        let would = matches!(refusal, None | Some(Refusal::LeaseMayRun));
+        let would = matches!(refusal, None | Some(VoteRefusal::LeaseMayBeActive));
         let granted = refusal.is_none();
         let just_started = would && self.has_only_started();
         if let Some(reason) = refusal {
-            self.note_refusal(&from, reason);
+            self.record_refusal(&from, reason);
         }
         if granted || just_started {
             self.campaign_at = self.campaign_at.max(self.now + self.config.heartbeat_interval);
@@ -79,24 +79,24 @@
         term: Term,
         last_index: LogIndex,
         last_term: Term,
-    ) -> Option<Refusal> {
+    ) -> Option<VoteRefusal> {
         if let Some(refusal) = self.vote_refusal(last_index, last_term) {
             return Some(refusal);
         }
         if term <= self.hard_state.term {
-            return Some(Refusal::OldTerm);
+            return Some(VoteRefusal::StaleTerm);
         }
         if self.goes_first(candidate, last_index, last_term) {
-            return Some(Refusal::OwnCampaign);
+            return Some(VoteRefusal::OwnCampaign);
         }
-        self.has_live_leader().then_some(Refusal::LeaseMayRun)
+        self.has_live_leader().then_some(VoteRefusal::LeaseMayBeActive)
     }
 
     /// Why this replica votes for no candidate with such a log, whatever the term. It need not know
     /// that it votes: the candidate's log says whose votes count.
-    fn vote_refusal(&self, last_index: LogIndex, last_term: Term) -> Option<Refusal> {
+    fn vote_refusal(&self, last_index: LogIndex, last_term: Term) -> Option<VoteRefusal> {
         let own = self.log.last_index();
-        let behind = Refusal::CandidateBehind { candidate: last_index, own };
+        let behind = VoteRefusal::CandidateBehind { candidate: last_index, own };
         (!self.is_up_to_date(last_index, last_term)).then_some(behind)
     }
 
@@ -129,18 +129,18 @@
     ) {
         if term > self.hard_state.term {
             // Not observed as a newer term because a leader's lease runs: no answer, no change.
-            self.note_refusal(&from, Refusal::LeaseMayRun);
+            self.record_refusal(&from, VoteRefusal::LeaseMayBeActive);
             return;
         }
         let given = self.hard_state.voted_for.clone().filter(|candidate| *candidate != from);
         let refusal = match given {
-            Some(other) => Some(Refusal::VoteGiven(other)),
-            None if self.role != Role::Follower => Some(Refusal::OwnCampaign),
+            Some(other) => Some(VoteRefusal::AlreadyVoted(other)),
+            None if self.role != Role::Follower => Some(VoteRefusal::OwnCampaign),
             None => self.vote_refusal(last_index, last_term),
         };
         let granted = refusal.is_none();
         if let Some(reason) = refusal {
-            self.note_refusal(&from, reason);
+            self.record_refusal(&from, reason);
         }
         if granted {
             self.set_term(term, Some(from.clone()));
@@ -160,9 +160,9 @@
     /// start it takes the word of every voter that none of them leads: whoever held a lease is one
     /// of them, so no lease is left, whatever a voter had promised before it started.
     fn count_pre_votes(&mut self) {
-        let nobody_leads = self.voters().keys().all(|voter| self.just_started.contains(voter));
-        if nobody_leads || self.votes.len() >= self.quorum() {
-            self.start_vote(nobody_leads);
+        let no_live_leader = self.voters().keys().all(|voter| self.just_started.contains(voter));
+        if no_live_leader || self.votes.len() >= self.quorum() {
+            self.start_vote(no_live_leader);
         }
     }
 
--- a/crates/consensus/src/election_event.rs
+++ b/crates/consensus/src/election_event.rs
@@ -6,7 +6,7 @@
 
 /// Why a replica does not vote for a candidate.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Refusal {
+pub enum VoteRefusal {
     /// The candidate lacks entries that this replica holds.
     CandidateBehind {
         /// Index of the candidate's last entry.
@@ -15,25 +15,25 @@
         own: LogIndex,
     },
     /// The candidate's term is not newer than this replica's.
-    OldTerm,
+    StaleTerm,
     /// A leader has been heard so lately that it may hold a lease, or this replica leads.
-    LeaseMayRun,
+    LeaseMayBeActive,
     /// This replica has an equal log and campaigns itself; its name goes first.
     OwnCampaign,
     /// The vote of this term has been given to another candidate.
-    VoteGiven(MachineName),
+    AlreadyVoted(MachineName),
 }
 
-impl fmt::Display for Refusal {
+impl fmt::Display for VoteRefusal {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::CandidateBehind { candidate, own } => {
                 write!(formatter, "the candidate's log ends at {candidate}, the own one at {own}")
             }
-            Self::OldTerm => write!(formatter, "the candidate's term is old"),
-            Self::LeaseMayRun => write!(formatter, "a leader may hold a lease"),
+            Self::StaleTerm => write!(formatter, "the candidate's term is old"),
+            Self::LeaseMayBeActive => write!(formatter, "a leader may hold a lease"),
             Self::OwnCampaign => write!(formatter, "this replica campaigns itself"),
-            Self::VoteGiven(machine) => write!(formatter, "the vote went to {machine}"),
+            Self::AlreadyVoted(machine) => write!(formatter, "the vote went to {machine}"),
         }
     }
 }
@@ -42,7 +42,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ElectionEvent {
     /// This replica asks whether a campaign could succeed.
-    PreVoteAsked {
+    PreVoteRequested {
         /// The term that it would campaign in.
         term: Term,
     },
@@ -61,7 +61,7 @@
         /// The candidate.
         candidate: MachineName,
         /// Why.
-        reason: Refusal,
+        reason: VoteRefusal,
     },
     /// A voter has answered this candidate from another data folder than the one that counts.
     UncountedVote {
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -19,11 +19,11 @@
 mod ready;
 mod replication;
 
-pub use election_event::{ElectionEvent, Refusal};
+pub use election_event::{ElectionEvent, VoteRefusal};
 pub use membership::VoterChangeError;
 pub use message::{Entry, Envelope, HardState, LogIndex, Message, Payload, Snapshot, Term, Voters};
-pub use raft::{Config, NotLeader, Raft, Restored, Role};
+pub use raft::{Config, NotLeader, Raft, RestoredState, Role};
 pub use ready::{ReadConfirmed, Ready};
 
 /// The identity under which a replica votes before any replacement.
-pub const FIRST_IDENTITY: u64 = 1;
+pub const INITIAL_IDENTITY: u64 = 1;
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -41,11 +41,11 @@
 
     /// Whether this replica's own identity counts.
     pub fn is_voter(&self) -> bool {
-        self.counts(&self.config.name, self.config.identity)
+        self.is_voting_identity(&self.config.name, self.config.identity)
     }
 
     /// Whether `machine` votes under `identity`.
-    pub(crate) fn counts(&self, machine: &MachineName, identity: u64) -> bool {
+    pub(crate) fn is_voting_identity(&self, machine: &MachineName, identity: u64) -> bool {
         self.voters().get(machine) == Some(&identity)
     }
 
@@ -99,13 +99,13 @@
     pub fn caught_up_identity(&self, name: &MachineName) -> Option<u64> {
         let progress = self.progress.get(name)?;
         let complete = progress.matched > 0 && progress.matched + CATCH_UP_ENTRIES >= self.commit;
-        (complete && !self.counts(name, progress.identity)).then_some(progress.identity)
+        (complete && !self.is_voting_identity(name, progress.identity)).then_some(progress.identity)
     }
 
     /// Time since `name` last answered this leader; `None` if it is not tracked.
-    pub fn silence_of(&self, name: &MachineName) -> Option<Millis> {
+    pub fn time_since_contact(&self, name: &MachineName) -> Option<Millis> {
         let progress = self.progress.get(name)?;
-        Some(self.now.since(progress.heard_at))
+        Some(self.now.since(progress.last_reply_at))
     }
 
     /// Starts to follow how far a replica's log has come.
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -102,7 +102,7 @@
         last_term: Term,
         /// Whether every voter has answered that it does not lead and has promised nothing since
         /// it started. Then no promise from before a start can matter any more.
-        nobody_leads: bool,
+        no_live_leader: bool,
     },
     /// Answer to `Vote`.
     VoteReply {
--- a/crates/consensus/src/raft.rs
+++ b/crates/consensus/src/raft.rs
@@ -1,6 +1,6 @@
 //! The replica: state shared by election and replication, and the entry points.
 
-use crate::election_event::{ElectionEvent, Refusal};
+use crate::election_event::{ElectionEvent, VoteRefusal};
 use crate::log::Log;
 use crate::message::*;
 use crate::ready::{ReadConfirmed, Ready};
@@ -22,7 +22,7 @@
     pub identity: u64,
     /// Who votes as long as neither a snapshot nor an entry names the voters. Empty for a replica
     /// that has yet to be taken in by the others.
-    pub first_voters: Voters,
+    pub initial_voters: Voters,
     /// Shortest silence of the leader before a campaign. Also the length of a lease.
     pub election_timeout: Millis,
     /// Time between two heartbeats.
@@ -35,7 +35,7 @@
 
 /// What a replica read from its data folder.
 #[derive(Clone, Debug, Default)]
-pub struct Restored {
+pub struct RestoredState {
     /// The stored hard state.
     pub hard_state: HardState,
     /// The newest snapshot.
@@ -74,13 +74,13 @@
     /// The identity under which it answered last.
     pub identity: u64,
     /// When it last answered, by the leader's clock.
-    pub heard_at: Timestamp,
+    pub last_reply_at: Timestamp,
 }
 
 impl Progress {
     /// Nothing is known of the replica yet; entries are sent from `next` on.
     pub fn starting_at(next: LogIndex, now: Timestamp) -> Self {
-        Self { next, round_sent: now, heard_at: now, ..Self::default() }
+        Self { next, round_sent: now, last_reply_at: now, ..Self::default() }
     }
 }
 
@@ -134,9 +134,9 @@
 
 impl Raft {
     /// Starts a replica from what it read at `now`.
-    pub fn new(config: Config, mut restored: Restored, now: Timestamp) -> Self {
+    pub fn new(config: Config, mut restored: RestoredState, now: Timestamp) -> Self {
         if restored.snapshot.index == 0 {
-            restored.snapshot.voters = config.first_voters.clone();
+            restored.snapshot.voters = config.initial_voters.clone();
         }
         let rng = ChaCha8Rng::seed_from_u64(config.seed);
         let log = Log::new(restored.snapshot, restored.entries);
@@ -248,7 +248,7 @@
         }
         self.note_uncounted_vote(&envelope);
         let Envelope { from, identity, message } = envelope;
-        let counts = self.counts(&from, identity);
+        let is_voting_identity = self.is_voting_identity(&from, identity);
         match message {
             Message::PreVote { term, last_index, last_term } => {
                 self.on_pre_vote(from, term, last_index, last_term);
@@ -256,10 +256,10 @@
             Message::Vote { term, last_index, last_term, .. } => {
                 self.on_vote(from, term, last_index, last_term);
             }
-            Message::PreVoteReply { term, granted, just_started } if counts => {
+            Message::PreVoteReply { term, granted, just_started } if is_voting_identity => {
                 self.on_pre_vote_reply(from, term, granted, just_started);
             }
-            Message::VoteReply { term, granted } if counts => {
+            Message::VoteReply { term, granted } if is_voting_identity => {
                 self.on_vote_reply(from, term, granted);
             }
             Message::Append { prev_index, prev_term, entries, commit, round, .. } => {
@@ -402,8 +402,8 @@
         if !newer || hypothetical {
             return;
         }
-        if let Message::Vote { nobody_leads, .. } = envelope.message {
-            let old_promise_is_void = nobody_leads && self.has_only_started();
+        if let Message::Vote { no_live_leader, .. } = envelope.message {
+            let old_promise_is_void = no_live_leader && self.has_only_started();
             if self.in_lease_of_leader() && !old_promise_is_void {
                 return;
             }
@@ -422,7 +422,7 @@
         }
     }
 
-    pub(crate) fn note_refusal(&mut self, candidate: &MachineName, reason: Refusal) {
+    pub(crate) fn record_refusal(&mut self, candidate: &MachineName, reason: VoteRefusal) {
         self.elections.push(ElectionEvent::Refused { candidate: candidate.clone(), reason });
     }
 
@@ -430,11 +430,11 @@
         let term = self.hard_state.term;
         let reply = match envelope.message {
             Message::PreVote { .. } => {
-                self.note_refusal(&envelope.from, Refusal::OldTerm);
+                self.record_refusal(&envelope.from, VoteRefusal::StaleTerm);
                 Message::PreVoteReply { term, granted: false, just_started: false }
             }
             Message::Vote { .. } => {
-                self.note_refusal(&envelope.from, Refusal::OldTerm);
+                self.record_refusal(&envelope.from, VoteRefusal::StaleTerm);
                 Message::VoteReply { term, granted: false }
             }
             Message::Append { round, .. } | Message::Install { round, .. } => {
@@ -458,7 +458,7 @@
     }
 
     /// Whether this replica counts itself: a leader that is no voter any more must not.
-    pub(crate) fn own_vote(&self) -> bool {
+    pub(crate) fn counts_own_vote(&self) -> bool {
         self.is_voter()
     }
 
--- a/crates/consensus/src/replication.rs
+++ b/crates/consensus/src/replication.rs
@@ -155,7 +155,7 @@
         let Some(progress) = self.progress.get_mut(&from) else {
             return;
         };
-        progress.heard_at = now;
+        progress.last_reply_at = now;
         if progress.identity != identity {
             // A new data folder: nothing that the old one acknowledged counts any more.
             *progress = Progress { identity, ..Progress::starting_at(last + 1, now) };
@@ -188,10 +188,10 @@
         let mut matched: Vec<LogIndex> = self
             .progress
             .iter()
-            .filter(|(name, progress)| self.counts(name, progress.identity))
+            .filter(|(name, progress)| self.is_voting_identity(name, progress.identity))
             .map(|(_, progress)| progress.matched)
             .collect();
-        if self.own_vote() {
+        if self.counts_own_vote() {
             matched.push(self.durable);
         }
         matched.sort_unstable_by(|left, right| right.cmp(left));
@@ -209,10 +209,12 @@
         let mut times: Vec<Timestamp> = self
             .progress
             .iter()
-            .filter(|(name, progress)| self.counts(name, progress.identity) && progress.round > 0)
+            .filter(|(name, progress)| {
+                self.is_voting_identity(name, progress.identity) && progress.round > 0
+            })
             .map(|(_, progress)| progress.round_sent)
             .collect();
-        if self.own_vote() {
+        if self.counts_own_vote() {
             times.push(self.now);
         }
         times.sort_unstable_by(|left, right| right.cmp(left));
@@ -223,10 +225,10 @@
         let mut rounds: Vec<u64> = self
             .progress
             .iter()
-            .filter(|(name, progress)| self.counts(name, progress.identity))
+            .filter(|(name, progress)| self.is_voting_identity(name, progress.identity))
             .map(|(_, progress)| progress.round)
             .collect();
-        if self.own_vote() {
+        if self.counts_own_vote() {
             rounds.push(self.round);
         }
         rounds.sort_unstable_by(|left, right| right.cmp(left));
--- a/crates/consensus/tests/membership.rs
+++ b/crates/consensus/tests/membership.rs
@@ -11,14 +11,14 @@
 }
 
 fn voters(machines: &[&str]) -> Voters {
-    machines.iter().map(|machine| (name(machine), FIRST_IDENTITY)).collect()
+    machines.iter().map(|machine| (name(machine), INITIAL_IDENTITY)).collect()
 }
 
-fn replica(machine: &str, restored: Restored, now: Timestamp) -> Raft {
+fn replica(machine: &str, restored: RestoredState, now: Timestamp) -> Raft {
     let config = Config {
         name: name(machine),
-        identity: FIRST_IDENTITY,
-        first_voters: voters(&["a", "b", "c"]),
+        identity: INITIAL_IDENTITY,
+        initial_voters: voters(&["a", "b", "c"]),
         election_timeout: ELECTION_TIMEOUT,
         heartbeat_interval: Millis(150),
         lease_margin: Millis(100),
@@ -39,7 +39,7 @@
     fn elected() -> (Self, MachineName) {
         let now = Timestamp(1_000);
         let replicas =
-            ["a", "b", "c"].map(|one| (name(one), replica(one, Restored::default(), now)));
+            ["a", "b", "c"].map(|one| (name(one), replica(one, RestoredState::default(), now)));
         let mut group = Self { now, replicas: replicas.into(), cut_off: Vec::new() };
         let leader = group.run_until_led();
         (group, leader)
@@ -147,7 +147,7 @@
     raft.compact(before, Vec::new());
     assert_eq!(raft.snapshot_index(), before);
     assert_eq!(raft.snapshot().voters, voters(&["a", "b", "c"]));
-    let restored = Restored {
+    let restored = RestoredState {
         hard_state: raft.hard_state().clone(),
         snapshot: raft.snapshot().clone(),
         entries: raft.entries_after_snapshot(),
--- a/crates/control-core/src/configuration.rs
+++ b/crates/control-core/src/configuration.rs
@@ -26,14 +26,14 @@
     /// stays behind, as one does that can't reach the leader.
     pub(crate) fn push_if_behind(&mut self, node: &NodeId) {
         let current = self.state.table().version();
-        let Some(seen) = self.liveness.seen.get(node) else {
+        let Some(observed) = self.liveness.observed.get(node) else {
             return;
         };
         // A life that is over takes nothing up any more.
-        if !self.is_newest_life(node) {
+        if !self.is_newest_incarnation(node) {
             return;
         }
-        let have = seen.version;
+        let have = observed.version;
         if have >= current {
             self.pushes.behind_since.remove(node);
             return;
@@ -90,11 +90,11 @@
     }
 
     pub(crate) fn tick_pushes(&mut self) {
-        let nodes: Vec<NodeId> = self.liveness.seen.keys().cloned().collect();
+        let nodes: Vec<NodeId> = self.liveness.observed.keys().cloned().collect();
         for node in &nodes {
             self.push_if_behind(node);
         }
-        self.pushes.pushed.retain(|node, _| self.liveness.seen.contains_key(node));
-        self.pushes.behind_since.retain(|node, _| self.liveness.seen.contains_key(node));
+        self.pushes.pushed.retain(|node, _| self.liveness.observed.contains_key(node));
+        self.pushes.behind_since.retain(|node, _| self.liveness.observed.contains_key(node));
     }
 }
--- a/crates/control-core/src/liveness.rs
+++ b/crates/control-core/src/liveness.rs
@@ -15,7 +15,7 @@
 
 /// A router life as this replica hears it.
 #[derive(Clone, Debug)]
-pub(crate) struct Seen {
+pub(crate) struct ObservedRouter {
     pub zone: ZoneName,
     pub version: Version,
     pub heard_at: Timestamp,
@@ -26,7 +26,7 @@
 /// Router lives and what was proposed about them.
 #[derive(Debug, Default)]
 pub(crate) struct Liveness {
-    pub seen: BTreeMap<NodeId, Seen>,
+    pub observed: BTreeMap<NodeId, ObservedRouter>,
     proposed: BTreeMap<Proposal, Timestamp>,
     bill_senders: BTreeMap<AccountId, NodeId>,
 }
@@ -69,7 +69,7 @@
     }
 
     fn forget_old(&mut self, now: Timestamp) {
-        self.seen.retain(|_, seen| now.since(seen.heard_at) < FORGET_AFTER);
+        self.observed.retain(|_, observed| now.since(observed.heard_at) < FORGET_AFTER);
         self.proposed.retain(|_, at| now.since(*at) < PROPOSE_AGAIN_AFTER);
     }
 }
@@ -87,14 +87,14 @@
 
 impl<D: Disk> Replica<D> {
     pub(crate) fn on_heartbeat(&mut self, node: NodeId, beat: Heartbeat) {
-        let seen = Seen {
+        let observed = ObservedRouter {
             zone: beat.zone,
             version: beat.version,
             heard_at: self.now,
             silent_owners: beat.silent_owners,
             leaving: beat.leaving,
         };
-        self.liveness.seen.insert(node.clone(), seen);
+        self.liveness.observed.insert(node.clone(), observed);
         self.push_if_behind(&node);
     }
 
@@ -107,13 +107,13 @@
                 zones.insert(zone.clone(), empty);
             }
         }
-        for (node, seen) in &self.liveness.seen {
+        for (node, observed) in &self.liveness.observed {
             if self.health(node) != Health::Alive {
                 continue;
             }
-            if let Some(progress) = zones.get_mut(&seen.zone) {
+            if let Some(progress) = zones.get_mut(&observed.zone) {
                 progress.routers += 1;
-                progress.in_force += usize::from(seen.version >= version);
+                progress.in_force += usize::from(observed.version >= version);
             }
         }
         zones.into_values().collect()
@@ -141,13 +141,13 @@
     fn open_accounts(&mut self) {
         let unopened: Vec<(AccountId, ZoneName)> = self
             .liveness
-            .seen
+            .observed
             .iter()
             // A machine that is not in the table counts as gone: its account would be taken from
             // it at once, again and again.
             .filter(|(node, _)| self.is_in_table(&node.machine))
-            .filter(|(node, seen)| !seen.leaving && self.is_newest_life(node))
-            .map(|(node, seen)| (AccountId::mirrored(node), seen.zone.clone()))
+            .filter(|(node, observed)| !observed.leaving && self.is_newest_incarnation(node))
+            .map(|(node, observed)| (AccountId::mirrored(node), observed.zone.clone()))
             .filter(|(account, _)| {
                 self.state.table().get(&RowKey::Account(account.clone())).is_none()
             })
@@ -160,12 +160,13 @@
     }
 
     /// Whether no later life of the node's machine has been heard from.
-    pub(crate) fn is_newest_life(&self, node: &NodeId) -> bool {
-        let Some(own) = self.liveness.seen.get(node) else {
+    pub(crate) fn is_newest_incarnation(&self, node: &NodeId) -> bool {
+        let Some(own) = self.liveness.observed.get(node) else {
             return false;
         };
-        let lives = self.liveness.seen.iter().filter(|(other, _)| other.machine == node.machine);
-        lives.into_iter().all(|(_, seen)| seen.heard_at <= own.heard_at)
+        let lives =
+            self.liveness.observed.iter().filter(|(other, _)| other.machine == node.machine);
+        lives.into_iter().all(|(_, observed)| observed.heard_at <= own.heard_at)
     }
 
     fn is_in_table(&self, machine: &MachineName) -> bool {
@@ -176,11 +177,11 @@
         if !self.is_in_table(&node.machine) {
             return Health::Gone;
         }
-        let heard = self.liveness.seen.get(node).map(|seen| seen.heard_at);
-        let replaced = self.liveness.seen.iter().any(|(other, seen)| {
+        let heard = self.liveness.observed.get(node).map(|observed| observed.heard_at);
+        let replaced = self.liveness.observed.iter().any(|(other, observed)| {
             other.machine == node.machine
                 && other.incarnation != node.incarnation
-                && heard.is_none_or(|at| seen.heard_at > at)
+                && heard.is_none_or(|at| observed.heard_at > at)
         });
         if replaced {
             return Health::Gone;
@@ -202,7 +203,7 @@
             .collect();
         for command in verdicts {
             let proposal = match &command {
-                Command::Seal { account, expected } | Command::Lose { account, expected } => {
+                Command::Seal { account, expected } | Command::MarkLost { account, expected } => {
                     Proposal::Change(account.clone(), *expected)
                 }
                 _ => continue,
@@ -218,17 +219,18 @@
     fn judge(&self, account: &AccountId, row: &AccountRow) -> Option<Command> {
         let (account, expected) = (account.clone(), row.epoch);
         let owner = self.health(&row.owner);
-        let leaving = self.liveness.seen.get(&row.owner).is_some_and(|seen| seen.leaving);
+        let leaving =
+            self.liveness.observed.get(&row.owner).is_some_and(|observed| observed.leaving);
         let Some(backup) = &row.backup else {
-            return (owner == Health::Gone).then_some(Command::Lose { account, expected });
+            return (owner == Health::Gone).then_some(Command::MarkLost { account, expected });
         };
         let backup_health = self.health(backup);
         let backup_agrees = self
             .liveness
-            .seen
+            .observed
             .get(backup)
-            .is_some_and(|seen| seen.silent_owners.contains(&account))
-            || self.config.defects.seal_without_backup_word;
+            .is_some_and(|observed| observed.silent_owners.contains(&account))
+            || self.config.defects.seal_without_backup_consent;
         let seal = match owner {
             Health::Gone => backup_health == Health::Alive,
             Health::Silent => backup_health == Health::Alive && backup_agrees,
@@ -238,7 +240,7 @@
             return Some(Command::Seal { account, expected });
         }
         let both_gone = owner == Health::Gone && backup_health == Health::Gone;
-        both_gone.then_some(Command::Lose { account, expected })
+        both_gone.then_some(Command::MarkLost { account, expected })
     }
 
     pub(crate) fn on_change_backup(&mut self, account: AccountId, epoch: Epoch, backup: NodeId) {
--- a/crates/control-core/src/replica.rs
+++ b/crates/control-core/src/replica.rs
@@ -5,7 +5,7 @@
 use crate::liveness::Liveness;
 use crate::orders::{EngineOrder, Orders};
 use serde::{Deserialize, Serialize};
-use stackpost_consensus::{Config, Entry, FIRST_IDENTITY, Payload, Raft, Role};
+use stackpost_consensus::{Config, Entry, INITIAL_IDENTITY, Payload, Raft, Role};
 use stackpost_protocol::{Message, Peer};
 use stackpost_storage::{Disk, LogStore, StoreError};
 use stackpost_table::*;
@@ -43,7 +43,7 @@
     /// Send orders to engines without holding the lease.
     pub skip_lease: bool,
     /// Take an account from its owner without giving it a new epoch holder: the fence is dropped.
-    pub seal_without_backup_word: bool,
+    pub seal_without_backup_consent: bool,
 }
 
 /// Names an edit that waits for its outcome.
@@ -173,22 +173,22 @@
 impl<D: Disk> Replica<D> {
     /// Makes the data folder of a replica that takes part in a new fleet from the start.
     pub fn initialize(disk: D) -> Result<(), StoreError> {
-        LogStore::create(disk, FIRST_IDENTITY).map(drop)
+        LogStore::create(disk, INITIAL_IDENTITY).map(drop)
     }
 
     /// Opens a replica. An empty data folder is taken for a lost one: the replica draws a new
-    /// identity from `fresh_identity` and counts only once the others have accepted it.
+    /// identity from `new_identity` and counts only once the others have accepted it.
     pub fn open(
         config: ReplicaConfig,
         disk: D,
         bill_disk: D,
-        fresh_identity: u64,
+        new_identity: u64,
         now: Timestamp,
     ) -> Result<Self, StoreError> {
         let (store, restored) = if LogStore::exists(&disk)? {
             LogStore::open(disk)?
         } else {
-            (LogStore::create(disk, fresh_identity)?, Default::default())
+            (LogStore::create(disk, new_identity)?, Default::default())
         };
         let state = if restored.snapshot.index > 0 {
             StateMachine::from_snapshot(&restored.snapshot.data)
@@ -199,10 +199,10 @@
         let raft_config = Config {
             name: config.name.clone(),
             identity: store.identity(),
-            first_voters: config
+            initial_voters: config
                 .replicas
                 .iter()
-                .map(|name| (name.clone(), FIRST_IDENTITY))
+                .map(|name| (name.clone(), INITIAL_IDENTITY))
                 .collect(),
             election_timeout: config.election_timeout,
             heartbeat_interval: config.heartbeat_interval,
--- a/crates/control/src/api.rs
+++ b/crates/control/src/api.rs
@@ -1,6 +1,6 @@
 //! The operators' side of a control replica.
 
-use crate::driver::{Driver, FileReplica};
+use crate::replica_handle::{FileReplica, ReplicaHandle};
 use crate::views::*;
 use serde_json::{Value, json};
 use stackpost_control_core::EditReply;
@@ -19,7 +19,7 @@
 /// What the handler needs.
 pub struct Api {
     /// The replica.
-    pub driver: Driver,
+    pub replica_handle: ReplicaHandle,
     /// Who may read and edit.
     pub operators: OperatorsFile,
 }
@@ -28,7 +28,7 @@
 pub async fn handle(api: Arc<Api>, mut exchange: Exchange) -> Answer {
     match exchange.uri.path() {
         "/healthz" => return Answer::text(StatusCode::OK, "ok\n"),
-        "/readyz" => return ready(&api.driver).await,
+        "/readyz" => return ready(&api.replica_handle).await,
         _ => {}
     }
     let Some(operator) = authenticate(&api.operators, &exchange) else {
@@ -38,13 +38,13 @@
     let query = exchange.uri.query().unwrap_or_default().to_string();
     let path = exchange.uri.path().to_string();
     match (exchange.method.clone(), path.as_str()) {
-        (Method::GET, "/v1/table") => look(&api.driver, all_rows).await,
-        (Method::GET, "/v1/status") => look(&api.driver, fleet_view).await,
-        (Method::GET, "/v1/budgets") => look(&api.driver, budgets).await,
-        (Method::GET, "/v1/bills") => bills(&api.driver, &query).await,
-        (Method::GET, "/v1/audit") => audit(&api.driver, &query).await,
-        (Method::GET, "/v1/in-force") => in_force(&api.driver, &query).await,
-        (Method::POST, "/v1/edits") => edit(&api.driver, operator, &mut exchange).await,
+        (Method::GET, "/v1/table") => inspect(&api.replica_handle, all_rows).await,
+        (Method::GET, "/v1/status") => inspect(&api.replica_handle, fleet_view).await,
+        (Method::GET, "/v1/budgets") => inspect(&api.replica_handle, budgets).await,
+        (Method::GET, "/v1/bills") => bills(&api.replica_handle, &query).await,
+        (Method::GET, "/v1/audit") => audit(&api.replica_handle, &query).await,
+        (Method::GET, "/v1/in-force") => in_force(&api.replica_handle, &query).await,
+        (Method::POST, "/v1/edits") => edit(&api.replica_handle, operator, &mut exchange).await,
         _ => Answer::json(StatusCode::NOT_FOUND, &json!({ "error": format!("no {path}") })),
     }
 }
@@ -56,19 +56,19 @@
     known.map(|(name, _)| name.clone())
 }
 
-async fn ready(driver: &Driver) -> Answer {
-    let status = driver.look(|replica| replica.status()).await;
+async fn ready(replica_handle: &ReplicaHandle) -> Answer {
+    let status = replica_handle.inspect(|replica| replica.status()).await;
     match status {
         Some(status) if status.leader.is_some() => Answer::text(StatusCode::OK, "ready\n"),
         _ => Answer::text(StatusCode::SERVICE_UNAVAILABLE, "not ready: no leader is known\n"),
     }
 }
 
-async fn look<T: serde::Serialize + Send + 'static>(
-    driver: &Driver,
+async fn inspect<T: serde::Serialize + Send + 'static>(
+    replica_handle: &ReplicaHandle,
     view: impl FnOnce(&FileReplica) -> T + Send + 'static,
 ) -> Answer {
-    match driver.look(view).await {
+    match replica_handle.inspect(view).await {
         Some(view) => Answer::json(StatusCode::OK, &view),
         None => stopped(),
     }
@@ -110,10 +110,10 @@
         .collect()
 }
 
-async fn bills(driver: &Driver, query: &str) -> Answer {
-    let tenant = parameter(query, "tenant");
-    let request = parameter(query, "request").and_then(|text| RequestId::parse(&text));
-    let read = driver.look(|replica| replica.bills().read_all()).await;
+async fn bills(replica_handle: &ReplicaHandle, query: &str) -> Answer {
+    let tenant = query_parameter(query, "tenant");
+    let request = query_parameter(query, "request").and_then(|text| RequestId::parse(&text));
+    let read = replica_handle.inspect(|replica| replica.bills().read_all()).await;
     match read {
         Some(Ok(stored)) => {
             let wanted: Vec<BillView> = stored
@@ -131,12 +131,12 @@
     }
 }
 
-async fn audit(driver: &Driver, query: &str) -> Answer {
-    let count = parameter(query, "count").and_then(|text| text.parse().ok());
+async fn audit(replica_handle: &ReplicaHandle, query: &str) -> Answer {
+    let count = query_parameter(query, "count").and_then(|text| text.parse().ok());
     let count = count.unwrap_or(DEFAULT_COUNT);
-    let row = parameter(query, "row");
-    let records = driver
-        .look(move |replica| -> Vec<Value> {
+    let row = query_parameter(query, "row");
+    let records = replica_handle
+        .inspect(move |replica| -> Vec<Value> {
             let records = replica.state().audit().rev();
             records
                 .filter(|record| row.as_ref().is_none_or(|row| record.key.to_string() == *row))
@@ -164,15 +164,19 @@
     })
 }
 
-async fn in_force(driver: &Driver, query: &str) -> Answer {
-    let Some(version) = parameter(query, "version").and_then(|text| text.parse().ok()) else {
+async fn in_force(replica_handle: &ReplicaHandle, query: &str) -> Answer {
+    let Some(version) = query_parameter(query, "version").and_then(|text| text.parse().ok()) else {
         let error = json!({ "error": "`version`: allowed: a whole number" });
         return Answer::json(StatusCode::BAD_REQUEST, &error);
     };
-    look(driver, move |replica| replica.progress(Version(version))).await
+    inspect(replica_handle, move |replica| replica.progress(Version(version))).await
 }
 
-async fn edit(driver: &Driver, operator: OperatorName, exchange: &mut Exchange) -> Answer {
+async fn edit(
+    replica_handle: &ReplicaHandle,
+    operator: OperatorName,
+    exchange: &mut Exchange,
+) -> Answer {
     let bytes = match exchange.body.read_all(MAX_EDIT_BYTES).await {
         Ok(bytes) => bytes,
         Err(_) => {
@@ -189,7 +193,7 @@
     };
     let (key, row) = match read_edit(&request) {
         Ok(read) => read,
-        Err(error) => return Answer::json(StatusCode::UNPROCESSABLE_ENTITY, &invalid(error)),
+        Err(error) => return Answer::json(StatusCode::UNPROCESSABLE_ENTITY, &invalid_edit(error)),
     };
     let edit = Edit {
         id: EditId(request.id),
@@ -200,7 +204,7 @@
         based_on: request.based_on,
         row,
     };
-    let view = match driver.edit(edit).await {
+    let view = match replica_handle.edit(edit).await {
         EditReply::Outcome(outcome) => edit_view(&key, outcome),
         EditReply::NotLeader { leader } => EditView::NotLeader { leader },
         EditReply::Unconfirmed => EditView::Unconfirmed,
@@ -227,7 +231,7 @@
     }
 }
 
-fn parameter(query: &str, name: &str) -> Option<String> {
+fn query_parameter(query: &str, name: &str) -> Option<String> {
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     pairs.find(|(key, _)| *key == name).map(|(_, value)| value.to_string())
 }
--- a/crates/control/src/app.rs
+++ b/crates/control/src/app.rs
@@ -1,7 +1,7 @@
 //! Start of the process.
 
 use crate::api::{self, Api};
-use crate::driver;
+use crate::replica_handle;
 use clap::{Arg, ArgAction, ArgMatches, Command};
 use stackpost_http::{ServerOptions, serve};
 use stackpost_settings::{ControlEntry, FleetSettings, MachineEntry, OperatorsFile, load};
@@ -65,7 +65,7 @@
         println!("settings of {} are in order", entry.name);
         Ok(())
     } else if arguments.get_flag("initialize") {
-        driver::initialize(&control.data_folder).map_err(|error| error.to_string())
+        replica_handle::initialize(&control.data_folder).map_err(|error| error.to_string())
     } else {
         start(settings, &entry, &control).map_err(|error| error.to_string())
     };
@@ -116,11 +116,11 @@
         .build()
         .map_err(|error| PeerError::new(Step::Listen, "runtime", error))?;
     runtime.block_on(async {
-        let driver = driver::start(&settings, entry, &control.data_folder)
+        let replica_handle = replica_handle::start(&settings, entry, &control.data_folder)
             .map_err(|error| PeerError::new(Step::Storage, control.data_folder.display(), error))?;
-        let receiver = driver.clone();
-        stackpost_transport::listen(control.peer, move |parcel| receiver.receive(parcel)).await?;
-        let api = Arc::new(Api { driver, operators });
+        let receiver = replica_handle.clone();
+        stackpost_transport::listen(control.peer, move |batch| receiver.receive(batch)).await?;
+        let api = Arc::new(Api { replica_handle, operators });
         let options = ServerOptions { address: control.admin, threads: 1 };
         serve(options, move |exchange| api::handle(api.clone(), exchange))?;
         log::info!(zone = entry.zone.to_string(), address = control.admin.to_string(); "listening");
--- a/crates/control/src/orders.rs
+++ b/crates/control/src/orders.rs
@@ -1,6 +1,6 @@
 //! Sending orders to engines.
 
-use crate::driver::Driver;
+use crate::replica_handle::ReplicaHandle;
 use stackpost_control_core::{ControlEvent, EngineOrder};
 use stackpost_http::{Bytes, Client, StatusCode};
 use stackpost_types::BackEndName;
@@ -11,7 +11,7 @@
 const ORDER_TIMEOUT: Duration = Duration::from_secs(9);
 
 /// An order and the engine it is for.
-pub struct Addressed {
+pub struct AddressedOrder {
     /// The engine.
     pub back_end: BackEndName,
     /// Where it is reached.
@@ -24,11 +24,11 @@
 /// lease may have ended since the order was decided on.
 pub async fn send(
     client: Client,
-    driver: Driver,
-    addressed: Addressed,
+    replica_handle: ReplicaHandle,
+    addressed: AddressedOrder,
     may_send: impl Fn() -> bool,
 ) {
-    let Addressed { back_end, address, order } = addressed;
+    let AddressedOrder { back_end, address, order } = addressed;
     let result = if may_send() {
         post(&client, address, &order).await
     } else {
@@ -39,7 +39,7 @@
         term = order.term, version = order.version.0;
         "{}", result.as_ref().map_or_else(String::as_str, |()| "done")
     );
-    driver.event(ControlEvent::OrderAnswered { back_end, order, result });
+    replica_handle.event(ControlEvent::OrderAnswered { back_end, order, result });
 }
 
 async fn post(client: &Client, address: SocketAddr, order: &EngineOrder) -> Result<(), String> {
--- a/crates/control/src/driver.rs
+++ b/crates/control/src/replica_handle.rs
@@ -5,7 +5,7 @@
     ControlEffect, ControlEvent, EditReply, EditToken, Replica, ReplicaConfig,
 };
 use stackpost_http::Client;
-use stackpost_protocol::{Message, Parcel, Peer};
+use stackpost_protocol::{Message, MessageBatch, Peer};
 use stackpost_settings::{FleetSettings, MachineEntry};
 use stackpost_storage::{FileDisk, StoreError};
 use stackpost_table::{Edit, Row, RowKey};
@@ -38,15 +38,15 @@
 
 /// The way to the replica's thread.
 #[derive(Clone)]
-pub struct Driver {
+pub struct ReplicaHandle {
     tasks: Sender<Task>,
 }
 
-impl Driver {
+impl ReplicaHandle {
     /// Takes in a parcel from another process of the fleet.
-    pub fn receive(&self, parcel: Parcel) {
-        for message in parcel.messages {
-            let event = ControlEvent::Message { from: parcel.from.clone(), message };
+    pub fn receive(&self, batch: MessageBatch) {
+        for message in batch.messages {
+            let event = ControlEvent::Message { from: batch.from.clone(), message };
             self.event(event);
         }
     }
@@ -64,14 +64,14 @@
     }
 
     /// Looks at the replica. `None` if its thread has ended.
-    pub async fn look<T: Send + 'static>(
+    pub async fn inspect<T: Send + 'static>(
         &self,
-        look: impl FnOnce(&FileReplica) -> T + Send + 'static,
+        inspect: impl FnOnce(&FileReplica) -> T + Send + 'static,
     ) -> Option<T> {
         let (sender, answer) = oneshot::channel();
         self.put(Task::Look(Box::new(move |replica| {
             // The one who asked may have gone.
-            let _ = sender.send(look(replica));
+            let _ = sender.send(inspect(replica));
         })));
         answer.await.ok()
     }
@@ -90,7 +90,7 @@
     replicas: HashMap<MachineName, SocketAddr>,
     replies: HashMap<EditToken, oneshot::Sender<EditReply>>,
     next_token: u64,
-    driver: Driver,
+    replica_handle: ReplicaHandle,
     runtime: tokio::runtime::Handle,
 }
 
@@ -99,7 +99,7 @@
     settings: &FleetSettings,
     entry: &MachineEntry,
     data_folder: &Path,
-) -> Result<Driver, StoreError> {
+) -> Result<ReplicaHandle, StoreError> {
     let config = ReplicaConfig {
         name: entry.name.clone(),
         replicas: settings.replicas().map(|(machine, _)| machine.name.clone()).collect(),
@@ -111,10 +111,10 @@
     };
     let (log_disk, bill_disk) = open_folders(data_folder)?;
     let started = Instant::now();
-    let fresh_identity = rand::random();
-    let replica = Replica::open(config, log_disk, bill_disk, fresh_identity, clock(started))?;
+    let new_identity = rand::random();
+    let replica = Replica::open(config, log_disk, bill_disk, new_identity, clock(started))?;
     let (tasks, queue) = channel();
-    let driver = Driver { tasks };
+    let replica_handle = ReplicaHandle { tasks };
     let replicas = settings
         .replicas()
         .map(|(machine, control)| (machine.name.clone(), control.peer))
@@ -127,7 +127,7 @@
         replicas,
         replies: HashMap::new(),
         next_token: 0,
-        driver: driver.clone(),
+        replica_handle: replica_handle.clone(),
         runtime: tokio::runtime::Handle::current(),
     };
     std::thread::Builder::new().name("replica".into()).spawn(move || state.run(&queue)).map_err(
@@ -139,7 +139,7 @@
             })
         },
     )?;
-    Ok(driver)
+    Ok(replica_handle)
 }
 
 /// Makes the data folder of a replica that takes part in a new fleet from the start.
@@ -176,7 +176,7 @@
             match queue.recv_timeout(wait) {
                 Ok(Task::Event(event)) => self.handle(*event),
                 Ok(Task::Edit(edit, reply)) => self.edit(*edit, reply),
-                Ok(Task::Look(look)) => look(&self.replica),
+                Ok(Task::Look(inspect)) => inspect(&self.replica),
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
             }
@@ -221,8 +221,8 @@
                 let started = self.started;
                 let send = orders::send(
                     self.client.clone(),
-                    self.driver.clone(),
-                    orders::Addressed { back_end, address, order },
+                    self.replica_handle.clone(),
+                    orders::AddressedOrder { back_end, address, order },
                     move || clock(started) < not_after,
                 );
                 self.runtime.spawn(send);
--- a/crates/control/src/views.rs
+++ b/crates/control/src/views.rs
@@ -126,7 +126,7 @@
 }
 
 /// Splits a key into the names operators use.
-pub fn names_of(key: &RowKey) -> Option<(String, String)> {
+pub fn table_and_name(key: &RowKey) -> Option<(String, String)> {
     let table = key.table()?;
     let text = key.to_string();
     let (_, name) = text.split_once('/')?;
@@ -135,7 +135,7 @@
 
 /// A row as operators see it; `None` for rows of the control plane and deleted ones.
 pub fn row_view(key: &RowKey, versioned: &Versioned) -> Option<RowView> {
-    let (table, name) = names_of(key)?;
+    let (table, name) = table_and_name(key)?;
     let row = row_to_json(versioned.row.as_ref()?);
     Some(RowView { table, name, version: versioned.version, row })
 }
@@ -148,12 +148,12 @@
             let current = current.as_ref().and_then(|versioned| row_view(key, versioned));
             EditView::Conflict { current }
         }
-        EditOutcome::Invalid(error) => invalid(error),
+        EditOutcome::Invalid(error) => invalid_edit(error),
     }
 }
 
 /// A field error as operators see it.
-pub fn invalid(error: FieldError) -> EditView {
+pub fn invalid_edit(error: FieldError) -> EditView {
     let FieldError { field, found, allowed, .. } = error;
     EditView::Invalid { field, found, allowed }
 }
--- a/crates/coordinator/src/control_metrics.rs
+++ b/crates/coordinator/src/control_metrics.rs
@@ -2,7 +2,7 @@
 //! bounded: states, calls and replies are enumerations, nothing comes from a caller.
 
 use crate::replica_api::{PutReply, ReadReply};
-use stackpost_gateway_core::{EngineState, Merge};
+use stackpost_gateway_core::{EngineState, MergeOutcome};
 use stackpost_telemetry::{Counter, Gauge, Histogram, KeyValue, Meter};
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 
 /// What a control process believes at one moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct ControlSight {
+pub(crate) struct ControlGauges {
     pub leads: bool,
     pub term: u64,
     pub applied: u64,
@@ -92,9 +92,9 @@
 
     pub(crate) fn on_put(&self, reply: &PutReply) {
         let reply = match reply {
-            PutReply::Taken => "taken",
+            PutReply::Accepted => "taken",
             PutReply::Invalid(_) => "invalid",
-            PutReply::Elsewhere(_) => "elsewhere",
+            PutReply::NotLeader(_) => "elsewhere",
             PutReply::Unconfirmed => "unconfirmed",
         };
         self.puts.add(1, &[KeyValue::new("reply", reply)]);
@@ -102,15 +102,15 @@
 
     pub(crate) fn on_read(&self, reply: &ReadReply) {
         let reply = match reply {
-            ReadReply::Newest(_) => "newest",
-            ReadReply::Elsewhere(_) => "elsewhere",
-            ReadReply::Unsure => "unsure",
+            ReadReply::Latest(_) => "newest",
+            ReadReply::NotLeader(_) => "elsewhere",
+            ReadReply::Unconfirmed => "unsure",
         };
         self.reads.add(1, &[KeyValue::new("reply", reply)]);
     }
 
     /// An announcement of an engine was in order.
-    pub(crate) fn on_announcement(&self, state: EngineState, merge: Merge) {
+    pub(crate) fn on_announcement(&self, state: EngineState, merge: MergeOutcome) {
         let labels =
             [KeyValue::new("state", state.as_str()), KeyValue::new("change", merge.as_str())];
         self.announcements.add(1, &labels);
@@ -138,20 +138,20 @@
     }
 
     /// What the process believes, now and then.
-    pub(crate) fn on_look(&self, sight: &ControlSight) {
-        self.leads.record(u64::from(sight.leads), &[]);
-        self.term.record(sight.term, &[]);
-        self.applied.record(sight.applied, &[]);
-        self.configuration_version.record(sight.configuration_version, &[]);
+    pub(crate) fn record_gauges(&self, gauges: &ControlGauges) {
+        self.leads.record(u64::from(gauges.leads), &[]);
+        self.term.record(gauges.term, &[]);
+        self.applied.record(gauges.applied, &[]);
+        self.configuration_version.record(gauges.configuration_version, &[]);
         let count = |gauge: &Gauge<u64>, label: &'static str, value: &'static str, count: usize| {
             gauge.record(count as u64, &[KeyValue::new(label, value)]);
         };
-        count(&self.processes, "role", "router", sight.routers);
-        count(&self.processes, "role", "control", sight.control_peers);
-        count(&self.engines, "state", EngineState::Ready.as_str(), sight.engines_ready);
-        count(&self.engines, "state", EngineState::Draining.as_str(), sight.engines_draining);
-        count(&self.engines, "state", "silent", sight.engines_silent);
-        count(&self.requests, "state", "suspected", sight.suspected);
-        count(&self.requests, "state", "quarantined", sight.quarantined);
+        count(&self.processes, "role", "router", gauges.routers);
+        count(&self.processes, "role", "control", gauges.control_peers);
+        count(&self.engines, "state", EngineState::Ready.as_str(), gauges.engines_ready);
+        count(&self.engines, "state", EngineState::Draining.as_str(), gauges.engines_draining);
+        count(&self.engines, "state", "silent", gauges.engines_silent);
+        count(&self.requests, "state", "suspected", gauges.suspected);
+        count(&self.requests, "state", "quarantined", gauges.quarantined);
     }
 }
--- a/crates/coordinator/src/control_node.rs
+++ b/crates/coordinator/src/control_node.rs
@@ -1,13 +1,13 @@
 //! What a control process does with its peers, the routers and the engines.
 
-use crate::control_metrics::{ControlMetrics, ControlSight};
+use crate::control_metrics::{ControlGauges, ControlMetrics};
 use crate::control_state::ControlState;
-use crate::departures::UnwrittenWords;
+use crate::departures::UncommittedDepartures;
 use crate::links::Links;
 use crate::message::{ControlStatus, FleetMessage, RouterStatus};
 use crate::replica_api::{PutReply, ReadReply, ReplicaEffect, ReplicaEvent};
 use crate::replica_thread::{ReplicaHandle, ReplicaView};
-use crate::router_news::{RouterList, SilentList};
+use crate::router_updates::{RouterList, SilentEngineList};
 use stackpost_clock::BootInstant;
 use stackpost_gateway_core::{EngineDirectory, EngineNotice, EngineState, KnownDepartures};
 use stackpost_mesh::{LinkEvent, LinkId, Mesh, PeerInfo, PeerRole};
@@ -47,7 +47,7 @@
     pub(crate) state: Rc<RefCell<ControlState>>,
     pub(crate) metrics: ControlMetrics,
     /// Revision of the departures that are known to be written down.
-    pub(crate) departures_known: watch::Sender<u64>,
+    pub(crate) committed_departures_revision: watch::Sender<u64>,
 }
 
 impl ControlNode {
@@ -63,9 +63,9 @@
         mesh.listen(settings.mesh_address).await?;
         let state = ControlState {
             directory: EngineDirectory::default(),
-            silent: SilentList::default(),
+            silent: SilentEngineList::default(),
             departures: KnownDepartures::default(),
-            unwritten: UnwrittenWords::default(),
+            uncommitted: UncommittedDepartures::default(),
             refreshed: BTreeSet::new(),
             links: Links::default(),
             control_peers: BTreeSet::new(),
@@ -84,7 +84,7 @@
             started: BootInstant::now(),
             state: Rc::new(RefCell::new(state)),
             metrics,
-            departures_known: watch::Sender::new(0),
+            committed_departures_revision: watch::Sender::new(0),
         };
         node.add_seeds(&settings.seeds);
         tokio::task::spawn_local(node.clone().run(events, effects));
@@ -119,7 +119,7 @@
         self.replica.send(ReplicaEvent::Read { token });
         let reply = timeout(REPLY_LIMIT, reply).await;
         self.state.borrow_mut().reads.remove(&token);
-        let reply = reply.ok().and_then(Result::ok).unwrap_or(ReadReply::Unsure);
+        let reply = reply.ok().and_then(Result::ok).unwrap_or(ReadReply::Unconfirmed);
         self.metrics.on_read(&reply);
         reply
     }
@@ -163,9 +163,9 @@
                 Some(effect) = effects.recv() => self.on_effect(effect),
                 _ = ticks.tick() => self.on_tick(),
                 _ = looks.tick() => {
-                    self.metrics.on_look(&self.sight());
+                    self.metrics.record_gauges(&self.gauges());
                     // Again and again: a message is lost with a queue that is full.
-                    self.tell_quarantine();
+                    self.broadcast_quarantine();
                 }
             }
         }
@@ -176,7 +176,7 @@
             LinkEvent::Up { link, peer, .. } => self.on_up(link, peer),
             LinkEvent::Down { link } => {
                 self.state.borrow_mut().links.down(link);
-                self.tell_control_peers();
+                self.update_control_peers();
             }
             LinkEvent::Message { link, message } => self.on_message(link, message),
         }
@@ -190,20 +190,20 @@
             let notices = self.state.borrow().directory.notices(self.now());
             self.mesh.send(link, &FleetMessage::Engines(notices));
         } else {
-            self.tell_router(link, false);
+            self.send_updates_to_router(link, false);
             // Before the status: a router that has heard a leader lets callers in.
             let notice = self.replica.view().quarantine.notice();
             self.mesh.send(link, &FleetMessage::Quarantined(notice));
         }
         self.mesh.send(link, &FleetMessage::ControlStatus(self.status()));
         match role {
-            PeerRole::Control => self.tell_control_peers(),
+            PeerRole::Control => self.update_control_peers(),
             PeerRole::Router => self.state.borrow_mut().routers.is_outdated = true,
         }
     }
 
     fn on_message(&self, link: LinkId, message: FleetMessage) {
-        let Some(peer) = self.state.borrow_mut().links.heard(self.now(), link) else {
+        let Some(peer) = self.state.borrow_mut().links.on_received(self.now(), link) else {
             return;
         };
         match message {
@@ -214,16 +214,16 @@
             }
             FleetMessage::Engines(notices) => self.on_engines(notices),
             FleetMessage::Departures(news) => self.on_departures(&news),
-            FleetMessage::DepartureWords(words) => {
-                self.replica.send(ReplicaEvent::DepartureWords(words));
+            FleetMessage::DepartureNotices(words) => {
+                self.replica.send(ReplicaEvent::DepartureNotices(words));
             }
             FleetMessage::RouterStatus(status) => self.on_router_status(link, peer, status),
             FleetMessage::CrashReport(report) => self.on_crash_report(report),
-            FleetMessage::Farewell(spent) => {
-                self.replica.send(ReplicaEvent::RouterFarewell { router: peer, spent });
+            FleetMessage::FinalUsage(spent) => {
+                self.replica.send(ReplicaEvent::RouterFinalUsage { router: peer, spent });
             }
-            FleetMessage::Custody(router, spent) => {
-                self.replica.send(ReplicaEvent::RouterFarewell { router, spent });
+            FleetMessage::RelayedFinalUsage(router, spent) => {
+                self.replica.send(ReplicaEvent::RouterFinalUsage { router, spent });
             }
             FleetMessage::Document(_)
             | FleetMessage::DocumentDelta(_)
@@ -233,21 +233,21 @@
             | FleetMessage::Borrow { .. }
             | FleetMessage::BorrowReply { .. }
             | FleetMessage::SettleLoan { .. }
-            | FleetMessage::Alive
-            | FleetMessage::Outlooks(_)
-            | FleetMessage::Allotted(_)
+            | FleetMessage::KeepAlive
+            | FleetMessage::Forecasts(_)
+            | FleetMessage::Allotments(_)
             | FleetMessage::Recall(_)
             | FleetMessage::Quarantined(_)
-            | FleetMessage::GivenUp(_)
-            | FleetMessage::FarewellTaken => {}
+            | FleetMessage::ExpiredEngines(_)
+            | FleetMessage::FinalUsageAck => {}
         }
     }
 
     fn on_router_status(&self, link: LinkId, router: NodeId, status: RouterStatus) {
         if let Some(entry) = self.state.borrow_mut().links.get_mut(link) {
-            entry.told.confirm(&status.versions);
+            entry.delivery.confirm(&status.versions);
         }
-        self.tell_router(link, status.accepts_unconfirmed);
+        self.send_updates_to_router(link, status.accepts_unconfirmed);
         self.replica.send(ReplicaEvent::RouterReport { router, status });
     }
 
@@ -268,25 +268,25 @@
                 }
             }
             ReplicaEffect::DocumentChanged(document) => self.on_document(document.version),
-            ReplicaEffect::Allotted(router, totals) => {
-                self.send_to_router(&router, &FleetMessage::Allotted(totals));
+            ReplicaEffect::Allotments(router, totals) => {
+                self.send_to_router(&router, &FleetMessage::Allotments(totals));
             }
             ReplicaEffect::Recall(router, keeps) => {
                 self.send_to_router(&router, &FleetMessage::Recall(keeps));
             }
-            ReplicaEffect::Outlooks(outlooks) => {
-                let routers = self.state.borrow().links.one_each(self.now(), PeerRole::Router);
-                self.mesh.send_all(routers, &FleetMessage::Outlooks(outlooks));
+            ReplicaEffect::Forecasts(forecasts) => {
+                let routers = self.state.borrow().links.one_per_peer(self.now(), PeerRole::Router);
+                self.mesh.send_all(routers, &FleetMessage::Forecasts(forecasts));
             }
-            ReplicaEffect::FarewellTaken(router) => {
-                self.send_to_router(&router, &FleetMessage::FarewellTaken);
+            ReplicaEffect::FinalUsageAck(router) => {
+                self.send_to_router(&router, &FleetMessage::FinalUsageAck);
             }
-            ReplicaEffect::QuarantineChanged => self.tell_quarantine(),
-            ReplicaEffect::DeparturesChanged => self.take_over_departures(),
+            ReplicaEffect::QuarantineChanged => self.broadcast_quarantine(),
+            ReplicaEffect::DeparturesChanged => self.sync_departures(),
             ReplicaEffect::RoleChanged(leads) => {
                 log::info!(leads = leads; "role");
-                self.tell_quarantine();
-                self.tell_departures();
+                self.broadcast_quarantine();
+                self.broadcast_departures();
                 self.on_tick();
             }
         }
@@ -295,22 +295,22 @@
     fn on_document(&self, version: u64) {
         let view = self.replica.view();
         if let Some(document) = &view.document {
-            self.state.borrow_mut().remember_document(document);
+            self.state.borrow_mut().cache_document(document);
         }
         log::info!(version = version, leads = view.leads(); "configuration in force");
         if view.leads() {
-            self.tell_document();
+            self.broadcast_document();
         }
     }
 
-    fn sight(&self) -> ControlSight {
+    fn gauges(&self) -> ControlGauges {
         let view = self.replica.view();
         let state = self.state.borrow();
         let in_state = |wanted: EngineState| {
             state.directory.iter().filter(|record| record.notice.state == wanted).count()
         };
         let quarantined = view.quarantine.notice().quarantined.len();
-        ControlSight {
+        ControlGauges {
             leads: view.leads(),
             term: view.term,
             applied: view.applied,
@@ -326,24 +326,24 @@
     }
 
     /// Tells all routers which requests are let in no more, if this replica leads.
-    fn tell_quarantine(&self) {
+    fn broadcast_quarantine(&self) {
         let view = self.replica.view();
         if view.leads() {
-            let routers = self.state.borrow().links.one_each(self.now(), PeerRole::Router);
+            let routers = self.state.borrow().links.one_per_peer(self.now(), PeerRole::Router);
             let notice = view.quarantine.notice();
             self.mesh.send_all(routers, &FleetMessage::Quarantined(notice));
         }
     }
 
     fn on_tick(&self) {
-        self.tell_router_list();
+        self.broadcast_router_list();
         // Told again and again: a replica that had to open its data folder anew knows of nobody.
-        self.tell_control_peers();
-        self.take_over_departures();
-        self.push_unwritten();
-        self.give_up_silent_engines();
-        self.tell_engines();
-        self.tell_silent();
+        self.update_control_peers();
+        self.sync_departures();
+        self.forward_uncommitted();
+        self.expire_silent_engines();
+        self.broadcast_engines();
+        self.broadcast_silent_engines();
         let now = self.now();
         let status = FleetMessage::ControlStatus(self.status());
         let state = &mut *self.state.borrow_mut();
@@ -355,7 +355,7 @@
             .collect();
         if !refreshed.is_empty() {
             let message = FleetMessage::Engines(refreshed);
-            self.mesh.send_all(state.links.one_each(now, PeerRole::Control), &message);
+            self.mesh.send_all(state.links.one_per_peer(now, PeerRole::Control), &message);
         }
         state.directory.forget_old(now);
         state.departures.forget_old(now);
@@ -374,20 +374,20 @@
         }
     }
 
-    fn tell_control_peers(&self) {
+    fn update_control_peers(&self) {
         let peers = self.state.borrow().links.machines(PeerRole::Control);
         self.replica.send(ReplicaEvent::ControlPeers(peers));
     }
 
     pub(crate) fn send_to_control(&self, machine: &MachineName, message: &FleetMessage) {
-        let link = self.state.borrow().links.to_control(self.now(), machine);
+        let link = self.state.borrow().links.link_to_control(self.now(), machine);
         if let Some(link) = link {
             self.mesh.send(link, message);
         }
     }
 
     fn send_to_router(&self, router: &NodeId, message: &FleetMessage) {
-        let link = self.state.borrow().links.to_router(self.now(), router);
+        let link = self.state.borrow().links.link_to_router(self.now(), router);
         if let Some(link) = link {
             self.mesh.send(link, message);
         }
--- a/crates/coordinator/src/control_state.rs
+++ b/crates/coordinator/src/control_state.rs
@@ -1,13 +1,13 @@
 //! What a control process knows of engines, connections and configurations.
 
-use crate::departures::UnwrittenWords;
+use crate::departures::UncommittedDepartures;
 use crate::document_delta::DocumentDelta;
 use crate::links::Links;
 use crate::message::Document;
 use crate::packed_document::PackedDocument;
 use crate::replica_api::{PutReply, ReadReply};
-use crate::router_news::{RouterList, SilentList};
-use stackpost_gateway_core::{EngineDirectory, KnownDepartures, RouterSite};
+use crate::router_updates::{RouterList, SilentEngineList};
+use stackpost_gateway_core::{EngineDirectory, KnownDepartures, RouterEndpoint};
 use stackpost_mesh::{LinkId, PeerRole};
 use stackpost_types::BackEndName;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -20,10 +20,10 @@
 /// What a control process knows.
 pub(crate) struct ControlState {
     pub directory: EngineDirectory,
-    pub silent: SilentList,
+    pub silent: SilentEngineList,
     /// Departures that are written down, by the own replica or by the leader's word.
     pub departures: KnownDepartures,
-    pub unwritten: UnwrittenWords,
+    pub uncommitted: UncommittedDepartures,
     /// Engines announced since the last status.
     pub refreshed: BTreeSet<BackEndName>,
     pub links: Links,
@@ -42,7 +42,7 @@
 
 impl ControlState {
     /// Keeps a configuration as a base for differences.
-    pub fn remember_document(&mut self, document: &Document) {
+    pub fn cache_document(&mut self, document: &Document) {
         self.deltas.clear();
         self.recent_documents.insert(document.version, document.clone());
         while self.recent_documents.len() > RECENT_DOCUMENTS {
@@ -73,8 +73,8 @@
     }
 
     /// The routers and a connection to each, by zone and address.
-    pub fn router_sites(&self) -> BTreeMap<RouterSite, LinkId> {
+    pub fn router_endpoints(&self) -> BTreeMap<RouterEndpoint, LinkId> {
         let routers = self.links.peers(PeerRole::Router).map(|(link, _)| link);
-        routers.filter_map(|link| Some((self.links.site(link)?, link))).collect()
+        routers.filter_map(|link| Some((self.links.endpoint(link)?, link))).collect()
     }
 }
--- a/crates/coordinator/src/crash_watch.rs
+++ b/crates/coordinator/src/crash_watch.rs
@@ -49,14 +49,14 @@
         held: &Quarantine,
         change: QuarantineChange,
     ) -> Option<QuarantineChange> {
-        if let QuarantineChange::Seen(sightings) = &change {
+        if let QuarantineChange::CrashesSeen(sightings) = &change {
             // One that is told again is no new end of the engine: counted anew, an engine that lives would never have
             // announced itself often enough since.
             for seen in sightings.iter().filter(|seen| held.is_new(seen)) {
                 self.announcements.remove(&seen.engine);
             }
         }
-        held.is_news(&change).then_some(change)
+        held.would_change(&change).then_some(change)
     }
 
     /// An engine has announced itself. Returns the change if that shows that it has not ended.
@@ -65,13 +65,13 @@
         held: &Quarantine,
         engine: BackEndName,
     ) -> Option<QuarantineChange> {
-        if !held.concerns(&engine) {
+        if !held.has_crashes_of(&engine) {
             self.announcements.remove(&engine);
             return None;
         }
         let announcements = self.announcements.entry(engine.clone()).or_default();
         *announcements += 1;
-        (*announcements >= ANNOUNCEMENTS_TO_CLEAR).then_some(QuarantineChange::StillRuns(engine))
+        (*announcements >= ANNOUNCEMENTS_TO_CLEAR).then_some(QuarantineChange::EngineAlive(engine))
     }
 
     /// What has lasted for as long as it was to.
@@ -100,7 +100,7 @@
             changes.push(QuarantineChange::Released(released));
         }
         if !forgotten.is_empty() {
-            changes.push(QuarantineChange::Forgotten(forgotten));
+            changes.push(QuarantineChange::Expired(forgotten));
         }
         changes
     }
--- a/crates/coordinator/src/departure_watch.rs
+++ b/crates/coordinator/src/departure_watch.rs
@@ -1,6 +1,6 @@
 //! The leader's part in engines' departures: which words are written down, and when they are forgotten.
 
-use stackpost_gateway_core::{DepartureChange, DepartureWord, Departures};
+use stackpost_gateway_core::{DepartureChange, DepartureRecord, Departures};
 use stackpost_types::{BackEndName, Millis, Timestamp};
 use std::collections::BTreeMap;
 
@@ -15,7 +15,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct DepartureWatch {
     /// Words on their way into the log, and since when.
-    proposed: BTreeMap<BackEndName, (DepartureWord, Timestamp)>,
+    proposed: BTreeMap<BackEndName, (DepartureRecord, Timestamp)>,
     /// The revision of each word that is held, and since when.
     held: BTreeMap<BackEndName, (u64, Timestamp)>,
     looked_at: Timestamp,
@@ -28,22 +28,24 @@
     }
 
     /// What control processes ask to have written down, as a change to propose; `None` if it is nothing new.
-    pub fn on_words(
+    pub fn on_notices(
         &mut self,
         now: Timestamp,
         held: &Departures,
-        words: Vec<DepartureWord>,
+        words: Vec<DepartureRecord>,
     ) -> Option<DepartureChange> {
-        let is_under_way = |word: &DepartureWord| {
+        let is_under_way = |word: &DepartureRecord| {
             let proposed = self.proposed.get(&word.engine);
             proposed.is_some_and(|(other, at)| other == word && now.since(*at) < PROPOSE_AGAIN)
         };
-        let news: Vec<DepartureWord> =
-            words.into_iter().filter(|word| held.is_news(word) && !is_under_way(word)).collect();
+        let news: Vec<DepartureRecord> = words
+            .into_iter()
+            .filter(|word| held.would_change(word) && !is_under_way(word))
+            .collect();
         for word in &news {
             self.proposed.insert(word.engine.clone(), (word.clone(), now));
         }
-        (!news.is_empty()).then_some(DepartureChange::Said(news))
+        (!news.is_empty()).then_some(DepartureChange::Announced(news))
     }
 
     /// What has been kept for long enough.
@@ -52,7 +54,7 @@
             return None;
         }
         self.looked_at = now;
-        self.proposed.retain(|_, (word, _)| held.is_news(word));
+        self.proposed.retain(|_, (word, _)| held.would_change(word));
         self.held.retain(|engine, _| held.get(engine).is_some());
         let mut old = Vec::new();
         for (engine, revision) in held.revisions() {
@@ -64,6 +66,6 @@
                 old.push(engine.clone());
             }
         }
-        (!old.is_empty()).then_some(DepartureChange::Forgotten(old))
+        (!old.is_empty()).then_some(DepartureChange::Expired(old))
     }
 }
--- a/crates/coordinator/src/engine_news.rs
+++ b/crates/coordinator/src/engine_updates.rs
@@ -2,11 +2,12 @@
 //! reports of engines that ended.
 
 use crate::control_node::ControlNode;
-use crate::departures::NotWritten;
+use crate::departures::NotCommitted;
 use crate::message::FleetMessage;
 use crate::replica_api::ReplicaEvent;
 use stackpost_gateway_core::{
-    CrashReport, CrashSighting, DepartureWord, EngineNotice, EngineState, Merge, QuarantineChange,
+    CrashReport, CrashSighting, DepartureRecord, EngineNotice, EngineState, MergeOutcome,
+    QuarantineChange,
 };
 use stackpost_mesh::PeerRole;
 use stackpost_types::{BackEndName, Timestamp};
@@ -20,10 +21,10 @@
     UnknownService,
     /// The engine is known to belong to another service. Nothing has changed.
     #[error("the engine belongs to another service")]
-    OtherService,
+    ServiceMismatch,
     /// The engine leaves, which may not outlive this process. Whoever can be reached has been told.
     #[error(transparent)]
-    NotWritten(#[from] NotWritten),
+    NotCommitted(#[from] NotCommitted),
 }
 
 impl ControlNode {
@@ -35,32 +36,32 @@
     /// The announcement can't be one of an engine of this fleet, or could not be written down.
     pub async fn announce(&self, notice: EngineNotice) -> Result<(), AnnouncementError> {
         self.check(&notice)?;
-        self.take_over_departures();
-        let word = DepartureWord {
+        self.sync_departures();
+        let word = DepartureRecord {
             engine: notice.engine.clone(),
             state: notice.state,
             sequence: notice.sequence,
         };
-        if self.take_in(notice) == Merge::Changed {
-            self.tell_engines();
+        if self.take_in(notice) == MergeOutcome::Changed {
+            self.broadcast_engines();
         }
         self.acknowledge(word).await
     }
 
     /// Takes an announcement into the directory, and tells other control processes if it is news.
-    fn take_in(&self, notice: EngineNotice) -> Merge {
+    fn take_in(&self, notice: EngineNotice) -> MergeOutcome {
         let now = self.now();
         let name = notice.engine.clone();
         let state = &mut *self.state.borrow_mut();
         let merge = state.directory.merge(now, notice.clone());
         self.metrics.on_announcement(notice.state, merge);
         match merge {
-            Merge::Old => log_old(&notice),
-            Merge::Refreshed => {
+            MergeOutcome::Stale => log_old(&notice),
+            MergeOutcome::Refreshed => {
                 self.on_still_announced(&name);
                 state.refreshed.insert(name);
             }
-            Merge::Changed => {
+            MergeOutcome::Changed => {
                 log::info!(
                     engine = name.as_str(),
                     state = notice.state.as_str(),
@@ -68,7 +69,7 @@
                     "engine announced"
                 );
                 let message = FleetMessage::Engines(vec![notice]);
-                self.mesh.send_all(state.links.one_each(now, PeerRole::Control), &message);
+                self.mesh.send_all(state.links.one_per_peer(now, PeerRole::Control), &message);
             }
         }
         merge
@@ -76,22 +77,22 @@
 
     /// Has written down what an engine says of its end. That it takes work again is written down in passing: it is
     /// acknowledged as any other announcement.
-    async fn acknowledge(&self, word: DepartureWord) -> Result<(), AnnouncementError> {
+    async fn acknowledge(&self, word: DepartureRecord) -> Result<(), AnnouncementError> {
         if word.state == EngineState::Ready {
-            self.write_down_later(word);
+            self.submit_departure(word);
             return Ok(());
         }
         if self.is_outdated(&word) || self.state.borrow().departures.covers(&word) {
             return Ok(());
         }
-        let written = self.write_down(word.clone()).await;
+        let written = self.commit_departure(word.clone()).await;
         self.metrics.on_departure(word.state, written.is_ok());
         log_departure(&word, written);
         Ok(written?)
     }
 
     /// Whether an engine is known to take work again since it said `word`.
-    fn is_outdated(&self, word: &DepartureWord) -> bool {
+    fn is_outdated(&self, word: &DepartureRecord) -> bool {
         let state = self.state.borrow();
         let known = state.directory.get(&word.engine).map(|record| &record.notice);
         word.state != EngineState::Gone
@@ -111,31 +112,35 @@
             let has_service = known.notice.state != EngineState::Gone && !known.is_name_only();
             !has_service || known.notice.service == notice.service
         });
-        if same { Ok(()) } else { Err(AnnouncementError::OtherService) }
+        if same { Ok(()) } else { Err(AnnouncementError::ServiceMismatch) }
     }
 
-    /// Takes in that the engine `id` has left; `born` names the life, if that is known. It is written down when this
+    /// Takes in that the engine `id` has left; `started_at_ms` names the life, if that is known. It is written down when this
     /// returns.
     ///
     /// # Errors
     ///
     /// It could not be written down. Whoever can be reached has been told.
-    pub async fn engine_left(&self, id: &str, born: Option<u64>) -> Result<(), AnnouncementError> {
+    pub async fn engine_left(
+        &self,
+        id: &str,
+        started_at_ms: Option<u64>,
+    ) -> Result<(), AnnouncementError> {
         let notice = {
             let now = self.now();
             let state = &mut *self.state.borrow_mut();
-            let engine = match born {
-                Some(_) => BackEndName::of_life(id, born),
-                None => state.directory.life_that_leaves(now, id),
+            let engine = match started_at_ms {
+                Some(_) => BackEndName::of_incarnation(id, started_at_ms),
+                None => state.directory.departing_incarnation(now, id),
             };
-            let notice = state.directory.leave(now, &engine);
+            let notice = state.directory.mark_gone(now, &engine);
             let message = FleetMessage::Engines(vec![notice.clone()]);
-            self.mesh.send_all(state.links.one_each(now, PeerRole::Control), &message);
+            self.mesh.send_all(state.links.one_per_peer(now, PeerRole::Control), &message);
             notice
         };
-        self.tell_engines();
+        self.broadcast_engines();
         let EngineNotice { engine, state, sequence, .. } = notice;
-        self.acknowledge(DepartureWord { engine, state, sequence }).await
+        self.acknowledge(DepartureRecord { engine, state, sequence }).await
     }
 
     /// Takes in what another control process says of engines. It has told the routers that it reaches, so others hear of it
@@ -145,20 +150,20 @@
         for notice in notices {
             let engine = notice.engine.clone();
             let merge = self.state.borrow_mut().directory.merge(now, notice);
-            if merge == Merge::Refreshed {
+            if merge == MergeOutcome::Refreshed {
                 self.on_still_announced(&engine);
             }
         }
     }
 
     /// Forgets engines that have not been announced for long, and tells routers to do so.
-    pub(crate) fn give_up_silent_engines(&self) {
+    pub(crate) fn expire_silent_engines(&self) {
         let now = self.now();
         let state = &mut *self.state.borrow_mut();
-        let given_up = state.directory.give_up(now);
+        let given_up = state.directory.evict_silent(now);
         if !given_up.is_empty() {
-            let routers = state.links.one_each(now, PeerRole::Router);
-            self.mesh.send_all(routers, &FleetMessage::GivenUp(given_up));
+            let routers = state.links.one_per_peer(now, PeerRole::Router);
+            self.mesh.send_all(routers, &FleetMessage::ExpiredEngines(given_up));
         }
     }
 
@@ -177,14 +182,16 @@
             .map(|(seen, _)| seen)
             .collect();
         self.metrics.on_sightings(seen.len(), reported - seen.len());
-        for change in [QuarantineChange::Seen(seen), QuarantineChange::Cleared(report.cleared)] {
+        for change in
+            [QuarantineChange::CrashesSeen(seen), QuarantineChange::Cleared(report.cleared)]
+        {
             self.replica.send(ReplicaEvent::CrashReport(change));
         }
     }
 
     /// An engine that is known goes on announcing itself.
     fn on_still_announced(&self, engine: &BackEndName) {
-        if self.replica.view().quarantine.concerns(engine) {
+        if self.replica.view().quarantine.has_crashes_of(engine) {
             self.replica.send(ReplicaEvent::EngineAnnounced(engine.clone()));
         }
     }
@@ -202,7 +209,7 @@
     }
 }
 
-fn log_departure(word: &DepartureWord, written: Result<(), NotWritten>) {
+fn log_departure(word: &DepartureRecord, written: Result<(), NotCommitted>) {
     let (engine, state) = (word.engine.as_str(), word.state.as_str());
     match written {
         Ok(()) => log::info!(engine = engine, state = state; "departure written down"),
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -10,30 +10,31 @@
 mod control_node;
 mod control_state;
 mod crash_watch;
+mod delivery;
 mod departure_watch;
 mod departures;
 mod document_delta;
-mod engine_news;
+mod engine_updates;
 mod links;
 mod message;
 mod packed_document;
 mod prepaid_planner;
 mod replica;
 mod replica_api;
-mod replica_log;
-mod replica_opening;
+mod replica_bootstrap;
+mod replica_logger;
 mod replica_thread;
-mod router_news;
 mod router_peers;
+mod router_updates;
 mod state;
-mod told;
 mod voters;
 
 pub use control_metrics::ControlMetrics;
 pub use control_node::{ControlNode, ControlSettings};
-pub use departures::NotWritten;
+pub use delivery::DeliveryTracker;
+pub use departures::NotCommitted;
 pub use document_delta::DocumentDelta;
-pub use engine_news::AnnouncementError;
+pub use engine_updates::AnnouncementError;
 pub use links::{Link, Links};
 pub use message::{
     BorrowAnswer, ClockEcho, ControlStatus, Document, FleetMessage, RouterStatus, RouterVersions,
@@ -44,10 +45,9 @@
     PutReply, ReadReply, ReplicaConfig, ReplicaEffect, ReplicaError, ReplicaEvent,
 };
 pub use replica_thread::{ReplicaHandle, ReplicaThread, ReplicaView};
-pub use router_news::RouterTold;
-pub use router_peers::{PEERS_PER_ROUTER, peers_of};
-pub use state::{Command, FleetState, Outcome, RouterContact};
-pub use told::Told;
+pub use router_peers::{PEERS_PER_ROUTER, select_peers};
+pub use router_updates::PeerDelivery;
+pub use state::{ApplyOutcome, Command, FleetState, RouterContact};
 
 use stackpost_gateway_core::{ConfigError, RoutingConfig};
 
--- a/crates/coordinator/src/links.rs
+++ b/crates/coordinator/src/links.rs
@@ -5,8 +5,8 @@
 //! be lost goes over one that has been heard lately: a connection may fall silent for good without
 //! a reset, long before it is given up.
 
-use crate::router_news::RouterTold;
-use stackpost_gateway_core::RouterSite;
+use crate::router_updates::PeerDelivery;
+use stackpost_gateway_core::RouterEndpoint;
 use stackpost_mesh::{LinkId, PeerInfo, PeerRole};
 use stackpost_types::{MachineName, Millis, NodeId, Timestamp, ZoneName};
 use std::collections::{BTreeMap, BTreeSet};
@@ -20,8 +20,8 @@
     /// The other end.
     pub peer: PeerInfo,
     /// What has been told over it: departures to control processes, all of it to routers.
-    pub told: RouterTold,
-    heard_at: Timestamp,
+    pub delivery: PeerDelivery,
+    last_received_at: Timestamp,
 }
 
 /// All connections of one control process.
@@ -33,7 +33,7 @@
 impl Links {
     /// A connection has come up.
     pub fn up(&mut self, now: Timestamp, link: LinkId, peer: PeerInfo) {
-        let entry = Link { peer, told: RouterTold::default(), heard_at: now };
+        let entry = Link { peer, delivery: PeerDelivery::default(), last_received_at: now };
         self.links.insert(link, entry);
     }
 
@@ -43,9 +43,9 @@
     }
 
     /// A message has come over a connection. Returns its sender, unless the connection is gone.
-    pub fn heard(&mut self, now: Timestamp, link: LinkId) -> Option<NodeId> {
+    pub fn on_received(&mut self, now: Timestamp, link: LinkId) -> Option<NodeId> {
         let entry = self.links.get_mut(&link)?;
-        entry.heard_at = now;
+        entry.last_received_at = now;
         Some(entry.peer.node.clone())
     }
 
@@ -61,17 +61,17 @@
     }
 
     /// The connection to a machine that serves control.
-    pub fn to_control(&self, now: Timestamp, machine: &MachineName) -> Option<LinkId> {
+    pub fn link_to_control(&self, now: Timestamp, machine: &MachineName) -> Option<LinkId> {
         self.best(now, |peer| peer.role == PeerRole::Control && peer.node.machine == *machine)
     }
 
     /// The connection to one life of a router.
-    pub fn to_router(&self, now: Timestamp, router: &NodeId) -> Option<LinkId> {
+    pub fn link_to_router(&self, now: Timestamp, router: &NodeId) -> Option<LinkId> {
         self.best(now, |peer| peer.role == PeerRole::Router && peer.node == *router)
     }
 
     /// One connection to each process with `role`.
-    pub fn one_each(&self, now: Timestamp, role: PeerRole) -> Vec<LinkId> {
+    pub fn one_per_peer(&self, now: Timestamp, role: PeerRole) -> Vec<LinkId> {
         let mut best: BTreeMap<&NodeId, (LinkId, &Link)> = BTreeMap::new();
         for (id, link) in self.links.iter().filter(|(_, link)| link.peer.role == role) {
             let held = best.entry(&link.peer.node).or_insert((*id, link));
@@ -83,9 +83,9 @@
     }
 
     /// One connection to each process.
-    pub fn one_to_everyone(&self, now: Timestamp) -> Vec<LinkId> {
-        let mut links = self.one_each(now, PeerRole::Control);
-        links.extend(self.one_each(now, PeerRole::Router));
+    pub fn one_per_peer_all_roles(&self, now: Timestamp) -> Vec<LinkId> {
+        let mut links = self.one_per_peer(now, PeerRole::Control);
+        links.extend(self.one_per_peer(now, PeerRole::Router));
         links
     }
 
@@ -107,9 +107,9 @@
     }
 
     /// Where the process at the other end stands.
-    pub fn site(&self, link: LinkId) -> Option<RouterSite> {
+    pub fn endpoint(&self, link: LinkId) -> Option<RouterEndpoint> {
         let peer = &self.links.get(&link)?.peer;
-        Some(RouterSite { zone: peer.zone.clone(), address: peer.listens_at })
+        Some(RouterEndpoint { zone: peer.zone.clone(), address: peer.listen_address })
     }
 
     /// How many machines with `role` are connected.
@@ -122,7 +122,7 @@
 
 /// Connections that were heard lately first, the newest of them; else the one that was heard last.
 fn rank(now: Timestamp, id: LinkId, link: &Link) -> (bool, Timestamp, LinkId) {
-    let lately = now.since(link.heard_at) < HEARD_LATELY;
-    let heard_at = if lately { Timestamp(0) } else { link.heard_at };
-    (lately, heard_at, id)
+    let lately = now.since(link.last_received_at) < HEARD_LATELY;
+    let last_received_at = if lately { Timestamp(0) } else { link.last_received_at };
+    (lately, last_received_at, id)
 }
--- a/crates/coordinator/src/message.rs
+++ b/crates/coordinator/src/message.rs
@@ -5,10 +5,10 @@
 use serde::{Deserialize, Serialize};
 use stackpost_consensus::Envelope;
 use stackpost_gateway_core::{
-    CrashReport, DepartureNews, DepartureWord, DirectoryNews, EngineNotice, QuarantineNotice,
+    CrashReport, DepartureDelta, DepartureRecord, DirectoryDelta, EngineNotice, QuarantineNotice,
     ZoneRouters,
 };
-use stackpost_prepaid::{AccountReport, Allotment, Contact, Outlook};
+use stackpost_prepaid::{AccountReport, Allotment, BootTimestamp, BudgetForecast};
 use stackpost_types::{BackEndName, Millis, NodeId, TenantName, Timestamp, Tokens};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -63,12 +63,12 @@
     /// Whether it would take a configuration that no leader has confirmed.
     pub accepts_unconfirmed: bool,
     /// When its process started, by the clock of its machine.
-    pub started: Contact,
+    pub started: BootTimestamp,
     /// When it last heard the control process that this is sent to.
     pub echo: Option<ClockEcho>,
     /// Its last contact with a leader. Given only if `accounts` holds all accounts as they were
     /// after that contact.
-    pub contact: Option<Contact>,
+    pub contact: Option<BootTimestamp>,
     /// Its accounts, where they have changed.
     pub accounts: Vec<(TenantName, AccountReport)>,
 }
@@ -77,9 +77,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClockEcho {
     /// When the router heard the control process, by the clock of its machine.
-    pub heard: Contact,
+    pub received_at: BootTimestamp,
     /// When the control process had spoken, by its own clock.
-    pub spoken: Timestamp,
+    pub sent_at: Timestamp,
 }
 
 /// What a router says to another one that wants to borrow.
@@ -107,7 +107,7 @@
     /// Between control replicas: what engines have announced.
     Engines(Vec<EngineNotice>),
     /// From a control replica to a router: what is new in its directory of engines.
-    EngineChanges(DirectoryNews),
+    EngineChanges(DirectoryDelta),
     /// From a control replica to routers: engines that it has not heard of late.
     SilentEngines {
         /// Rises with each change.
@@ -118,18 +118,18 @@
     /// From a router to control.
     RouterStatus(RouterStatus),
     /// From the leader to a router: what it has been handed in all.
-    Allotted(Vec<(TenantName, Allotment)>),
+    Allotments(Vec<(TenantName, Allotment)>),
     /// From the leader to a router: what it may keep unused.
     Recall(Vec<(TenantName, Tokens)>),
     /// From the leader to all routers: budgets that are going to run out.
-    Outlooks(BTreeMap<TenantName, Outlook>),
+    Forecasts(BTreeMap<TenantName, BudgetForecast>),
     /// From a router that stops: what it has spent of each tenant's budget.
-    Farewell(BTreeMap<TenantName, Tokens>),
-    /// Answer to `Farewell` and `Custody`: it will reach the ledger.
-    FarewellTaken,
+    FinalUsage(BTreeMap<TenantName, Tokens>),
+    /// Answer to `FinalUsage` and `RelayedFinalUsage`: it will reach the ledger.
+    FinalUsageAck,
     /// From a router that stops out of touch to another one, and from that one to the leader: what
     /// the first has spent.
-    Custody(NodeId, BTreeMap<TenantName, Tokens>),
+    RelayedFinalUsage(NodeId, BTreeMap<TenantName, Tokens>),
     /// From a router to another one: reserve tokens in your wallet for a request of mine.
     Borrow {
         /// Names the loan.
@@ -156,7 +156,7 @@
         used: Tokens,
     },
     /// Between routers that have a connection: I am here.
-    Alive,
+    KeepAlive,
     /// From a router to the leader: engines that ended under requests, and suspected requests that ended
     /// well.
     CrashReport(CrashReport),
@@ -172,9 +172,9 @@
         peers: Vec<SocketAddr>,
     },
     /// From control to a router: which engines have said that they leave, as it is written down.
-    Departures(DepartureNews),
+    Departures(DepartureDelta),
     /// From a control replica to routers: engines that have not been announced for so long that they are forgotten.
-    GivenUp(Vec<BackEndName>),
+    ExpiredEngines(Vec<BackEndName>),
     /// From a control replica to the leader: what engines have said of their end, to be written down.
-    DepartureWords(Vec<DepartureWord>),
+    DepartureNotices(Vec<DepartureRecord>),
 }
--- a/crates/coordinator/src/prepaid_planner.rs
+++ b/crates/coordinator/src/prepaid_planner.rs
@@ -3,8 +3,8 @@
 use crate::message::{ClockEcho, RouterStatus};
 use crate::state::{Command, RouterContact};
 use stackpost_prepaid::{
-    AccountReport, Contact, GivenBack, LifeEnd, Outlook, PrepaidLedger, Rations, ShortBudget,
-    SteadyTime, plan,
+    AccountReport, BootTimestamp, BudgetForecast, BudgetShortage, IncarnationEnd, PrepaidLedger,
+    ScarceBudgetLimiter, SteadyTime, TokenReturn, plan,
 };
 use stackpost_types::{Millis, NodeId, TenantName, Timestamp, Tokens};
 use std::collections::{BTreeMap, BTreeSet};
@@ -32,19 +32,19 @@
 struct RouterView {
     first_seen: Timestamp,
     reported_at: Timestamp,
-    started: Contact,
-    contact: Option<Contact>,
+    started: BootTimestamp,
+    contact: Option<BootTimestamp>,
     accounts: BTreeMap<TenantName, AccountReport>,
 }
 
 impl RouterView {
     fn take_contact(&mut self, router: &NodeId) -> Option<RouterContact> {
         let contact = self.contact.take()?;
-        let gone = |(tenant, account): (&TenantName, &AccountReport)| {
+        let consumed = |(tenant, account): (&TenantName, &AccountReport)| {
             (tenant.clone(), account.used + account.returned)
         };
-        let gone = self.accounts.iter().map(gone).collect();
-        Some(RouterContact { router: router.clone(), contact, gone })
+        let consumed = self.accounts.iter().map(consumed).collect();
+        Some(RouterContact { router: router.clone(), contact, consumed })
     }
 }
 
@@ -56,11 +56,11 @@
     /// Kept by followers, too, so that a new leader knows.
     echoes: BTreeMap<NodeId, ClockEcho>,
     /// When earlier lives had certainly ended, by the clocks of their machines.
-    ended: BTreeMap<NodeId, Contact>,
-    farewells: BTreeMap<NodeId, BTreeMap<TenantName, Tokens>>,
+    ended: BTreeMap<NodeId, BootTimestamp>,
+    final_usages: BTreeMap<NodeId, BTreeMap<TenantName, Tokens>>,
     recalls: BTreeMap<NodeId, Vec<(TenantName, Tokens)>>,
-    rations: Rations,
-    outlooks: BTreeMap<TenantName, Outlook>,
+    scarce_limiter: ScarceBudgetLimiter,
+    forecasts: BTreeMap<TenantName, BudgetForecast>,
     outlooks_told_at: Option<Timestamp>,
     short_logged_at: BTreeMap<TenantName, Timestamp>,
     urgent: bool,
@@ -86,9 +86,9 @@
         }
         for (earlier, echo) in &self.echoes {
             if earlier.machine == router.machine && earlier != router {
-                let ended = Contact {
-                    boot: echo.heard.boot,
-                    at: SteadyTime(echo.heard.at.0 + now.since(echo.spoken).0),
+                let ended = BootTimestamp {
+                    boot: echo.received_at.boot,
+                    at: SteadyTime(echo.received_at.at.0 + now.since(echo.sent_at).0),
                 };
                 self.ended.entry(earlier.clone()).or_insert(ended);
             }
@@ -121,8 +121,8 @@
     }
 
     /// Takes in a router's farewell.
-    pub fn on_farewell(&mut self, router: &NodeId, spent: BTreeMap<TenantName, Tokens>) {
-        self.farewells.insert(router.clone(), spent);
+    pub fn on_final_usage(&mut self, router: &NodeId, spent: BTreeMap<TenantName, Tokens>) {
+        self.final_usages.insert(router.clone(), spent);
     }
 
     /// Notes that what was planned has been proposed as the entry at `index`.
@@ -152,13 +152,13 @@
             .map(|(router, view)| (router.clone(), view.accounts.clone()))
             .collect();
         commands.extend(returns(ledger, &reports));
-        let plan = plan(ledger, &reports, elapsed, &mut self.rations);
+        let plan = plan(ledger, &reports, elapsed, &mut self.scarce_limiter);
         for recall in plan.recalls {
             let of_router = self.recalls.entry(recall.holder).or_default();
             of_router.push((recall.tenant, recall.keep));
         }
-        self.outlooks = plan.outlooks;
-        self.log_short(now, &plan.short);
+        self.forecasts = plan.forecasts;
+        self.log_short(now, &plan.shortages);
         if !plan.grants.is_empty() {
             commands.push(Command::Grant(plan.grants));
         }
@@ -167,9 +167,9 @@
     }
 
     /// Says which budgets routers want more of, each now and then.
-    fn log_short(&mut self, now: Timestamp, short: &[ShortBudget]) {
+    fn log_short(&mut self, now: Timestamp, shortages: &[BudgetShortage]) {
         self.short_logged_at.retain(|_, at| now.since(*at) < SHORT_LOGGED_EVERY);
-        for budget in short {
+        for budget in shortages {
             if self.short_logged_at.contains_key(&budget.tenant) {
                 continue;
             }
@@ -191,16 +191,19 @@
     }
 
     /// Budgets that are going to run out, if the routers should be told.
-    pub fn take_outlooks(&mut self, now: Timestamp) -> Option<BTreeMap<TenantName, Outlook>> {
+    pub fn take_forecasts(
+        &mut self,
+        now: Timestamp,
+    ) -> Option<BTreeMap<TenantName, BudgetForecast>> {
         if self.outlooks_told_at.is_some_and(|at| now.since(at) < OUTLOOK_INTERVAL) {
             return None;
         }
         self.outlooks_told_at = Some(now);
-        Some(self.outlooks.clone())
+        Some(self.forecasts.clone())
     }
 
     /// Routers whose allotments a command changes. Also ends the wait for the round.
-    pub fn routers_touched(&mut self, index: u64, command: &Command) -> BTreeSet<NodeId> {
+    pub fn affected_routers(&mut self, index: u64, command: &Command) -> BTreeSet<NodeId> {
         if self.proposed.is_some_and(|(last, _)| last <= index) {
             self.proposed = None;
         }
@@ -213,26 +216,26 @@
     /// Router lives that have ended: those that said so and those whose machine runs another one.
     fn closings(&mut self, now: Timestamp, ledger: &PrepaidLedger) -> Vec<Command> {
         let mut commands = Vec::new();
-        for (router, spent) in std::mem::take(&mut self.farewells) {
+        for (router, spent) in std::mem::take(&mut self.final_usages) {
             self.routers.remove(&router);
             if ledger.allotments(&router).is_empty() {
                 continue;
             }
-            commands.push(Command::CloseRouter { router, end: LifeEnd::Told(spent) });
+            commands.push(Command::CloseRouter { router, end: IncarnationEnd::Reported(spent) });
         }
         for (successor, view) in &self.routers {
             if now.since(view.first_seen) < CUSTODY_TIME {
                 continue;
             }
-            for router in ledger.earlier_lives(successor) {
+            for router in ledger.earlier_incarnations(successor) {
                 let end = end_of_life(ledger, &router, self.ended.get(&router), view);
                 log::info!(router = router.to_string().as_str(); "router life ended: {end:?}");
-                self.rations.on_router_lost(now, router.machine.clone());
+                self.scarce_limiter.on_router_lost(now, router.machine.clone());
                 commands.push(Command::CloseRouter { router, end });
             }
         }
         let routers = self.routers.len();
-        if let Some(lost) = self.rations.open_after_loss(now, routers) {
+        if let Some(lost) = self.scarce_limiter.open_guard_after_loss(now, routers) {
             log::info!(lost = lost, routers = routers; "routers were lost together, the ends of budgets are open");
         }
         commands
@@ -247,7 +250,7 @@
         let holders = self.routers.iter_mut().filter(|(router, _)| ledger.is_holder(router));
         let contacts: Vec<RouterContact> =
             holders.filter_map(|(router, view)| view.take_contact(router)).collect();
-        (!contacts.is_empty()).then_some(Command::NoteContacts(contacts))
+        (!contacts.is_empty()).then_some(Command::RecordContacts(contacts))
     }
 }
 
@@ -256,18 +259,18 @@
 fn end_of_life(
     ledger: &PrepaidLedger,
     router: &NodeId,
-    by_echo: Option<&Contact>,
+    by_echo: Option<&BootTimestamp>,
     successor: &RouterView,
-) -> LifeEnd {
+) -> IncarnationEnd {
     let by_successor = ledger
         .contact(router)
         .filter(|known| successor.started.since(*known).is_some())
         .map(|_| successor.started);
     match (by_successor, by_echo) {
-        (Some(first), Some(second)) if second.at < first.at => LifeEnd::Before(*second),
-        (Some(first), _) => LifeEnd::Before(first),
-        (None, Some(second)) => LifeEnd::Before(*second),
-        (None, None) => LifeEnd::Unknown,
+        (Some(first), Some(second)) if second.at < first.at => IncarnationEnd::EndedBefore(*second),
+        (Some(first), _) => IncarnationEnd::EndedBefore(first),
+        (None, Some(second)) => IncarnationEnd::EndedBefore(*second),
+        (None, None) => IncarnationEnd::Unknown,
     }
 }
 
@@ -281,7 +284,7 @@
         for (tenant, account) in accounts {
             let known = ledger.allotment(router, tenant);
             if account.returned > known.returned || account.released > known.released {
-                returns.push(GivenBack {
+                returns.push(TokenReturn {
                     holder: router.clone(),
                     tenant: tenant.clone(),
                     returned: account.returned,
@@ -290,5 +293,5 @@
             }
         }
     }
-    (!returns.is_empty()).then_some(Command::GiveBack(returns))
+    (!returns.is_empty()).then_some(Command::ReturnTokens(returns))
 }
--- a/crates/coordinator/src/replica.rs
+++ b/crates/coordinator/src/replica.rs
@@ -8,12 +8,12 @@
 use crate::message::Document;
 use crate::prepaid_planner::PrepaidPlanner;
 use crate::replica_api::*;
-use crate::replica_log::ReplicaLog;
-use crate::replica_opening::{open_store, read_command, read_state};
-use crate::state::{Command, FleetState, Outcome};
-use crate::voters::{VoterSight, VoterStep, VoterView, next_step};
+use crate::replica_bootstrap::{open_store, read_command, read_state};
+use crate::replica_logger::ReplicaLogger;
+use crate::state::{ApplyOutcome, Command, FleetState};
+use crate::voters::{VoterStatus, VoterStep, VoterView, next_step};
 use stackpost_consensus::{Config, Entry, Payload, Raft, Ready, Role, Snapshot, Voters};
-use stackpost_gateway_core::{DepartureChange, DepartureWord, QuarantineChange};
+use stackpost_gateway_core::{DepartureChange, DepartureRecord, QuarantineChange};
 use stackpost_storage::{Disk, LogStore};
 use stackpost_types::{BackEndName, MachineName, Millis, NodeId, Timestamp, ZoneName};
 use std::collections::{BTreeMap, BTreeSet};
@@ -57,7 +57,7 @@
     /// The zones of control machines that are connected or have been.
     zones_seen: BTreeMap<MachineName, ZoneName>,
     was_leading: bool,
-    replica_log: ReplicaLog,
+    replica_logger: ReplicaLogger,
     effects: Vec<ReplicaEffect>,
 }
 
@@ -71,7 +71,7 @@
             name: config.name.clone(),
             identity: store.identity(),
             // The founders' snapshot names them; whoever joins later learns of them from the leader.
-            first_voters: Voters::new(),
+            initial_voters: Voters::new(),
             election_timeout: config.election_timeout,
             heartbeat_interval: config.heartbeat_interval,
             lease_margin: config.lease_margin,
@@ -79,10 +79,11 @@
         };
         let applied = restored.snapshot.index;
         let raft = Raft::new(raft_config, restored, now);
-        let replica_log = ReplicaLog::opened(&raft, store.identity(), disk_was_empty, now);
+        let replica_logger =
+            ReplicaLogger::log_opened(&raft, store.identity(), disk_was_empty, now);
         Ok(Self {
             raft,
-            replica_log,
+            replica_logger,
             config,
             store,
             state,
@@ -129,12 +130,12 @@
                     self.plan_prepaid(now);
                 }
             }
-            ReplicaEvent::RouterFarewell { router, spent } => {
-                self.planner.on_farewell(&router, spent);
+            ReplicaEvent::RouterFinalUsage { router, spent } => {
+                self.planner.on_final_usage(&router, spent);
             }
             ReplicaEvent::CrashReport(change) => self.on_crash_report(now, change),
             ReplicaEvent::EngineAnnounced(engine) => self.on_announced(now, engine),
-            ReplicaEvent::DepartureWords(words) => self.on_departure_words(now, words),
+            ReplicaEvent::DepartureNotices(words) => self.on_departure_words(now, words),
             ReplicaEvent::ControlPeers(machines) => {
                 self.zones_seen.extend(machines.clone());
                 self.control_peers = machines;
@@ -213,9 +214,10 @@
         }
     }
 
-    fn on_departure_words(&mut self, now: Timestamp, words: Vec<DepartureWord>) {
+    fn on_departure_words(&mut self, now: Timestamp, words: Vec<DepartureRecord>) {
         if self.raft.role() == Role::Leader
-            && let Some(change) = self.departure_watch.on_words(now, &self.state.departures, words)
+            && let Some(change) =
+                self.departure_watch.on_notices(now, &self.state.departures, words)
         {
             self.propose_departures(change);
         }
@@ -242,20 +244,20 @@
         // What is in force here has been committed, so a version that is not above it changes
         // nothing, whoever leads.
         if self.state.document.is_some() && config.version <= self.state.document_version() {
-            return self.reply_put(token, PutReply::Taken);
+            return self.reply_put(token, PutReply::Accepted);
         }
         let limits = config.prepaid_limits();
         let document = Document { version: config.version, bytes };
         match self.propose(&Command::PutDocument { document, limits }) {
             Some((term, index)) => self.puts.push(PendingPut { token, term, index, since: now }),
-            None => self.reply_put(token, PutReply::Elsewhere(self.raft.leader().cloned())),
+            None => self.reply_put(token, PutReply::NotLeader(self.raft.leader().cloned())),
         }
     }
 
     fn read(&mut self, now: Timestamp, token: u64) {
         if self.raft.role() != Role::Leader {
             let leader = self.raft.leader().cloned();
-            let reply = ReadReply::Elsewhere(leader);
+            let reply = ReadReply::NotLeader(leader);
             return self.effects.push(ReplicaEffect::ReadReply(token, reply));
         }
         let context = self.next_context;
@@ -287,7 +289,7 @@
         }
         for (token, read) in std::mem::take(&mut self.reads) {
             if overdue(read.since) || !leading {
-                self.effects.push(ReplicaEffect::ReadReply(token, ReadReply::Unsure));
+                self.effects.push(ReplicaEffect::ReadReply(token, ReadReply::Unconfirmed));
             } else {
                 let read = self.ask_again(now, read);
                 self.reads.insert(token, read);
@@ -316,8 +318,8 @@
         for (router, recalls) in self.planner.take_recalls() {
             self.effects.push(ReplicaEffect::Recall(router, recalls));
         }
-        if let Some(outlooks) = self.planner.take_outlooks(now) {
-            self.effects.push(ReplicaEffect::Outlooks(outlooks));
+        if let Some(forecasts) = self.planner.take_forecasts(now) {
+            self.effects.push(ReplicaEffect::Forecasts(forecasts));
         }
     }
 
@@ -328,7 +330,7 @@
         let mut voters = self.raft.voters().clone();
         match next_step(&self.voter_view()) {
             VoterStep::None => return self.raft.set_learners(BTreeSet::new()),
-            VoterStep::Teach(machines) => return self.raft.set_learners(machines),
+            VoterStep::SetLearners(machines) => return self.raft.set_learners(machines),
             VoterStep::Add(machine, identity) => voters.insert(machine, identity),
             VoterStep::Remove(machine) => voters.remove(&machine),
         };
@@ -339,8 +341,8 @@
 
     fn voter_view(&self) -> VoterView {
         let own = &self.config.name;
-        let voters: BTreeMap<MachineName, VoterSight> =
-            self.raft.voters().keys().map(|name| (name.clone(), self.voter_sight(name))).collect();
+        let voters: BTreeMap<MachineName, VoterStatus> =
+            self.raft.voters().keys().map(|name| (name.clone(), self.voter_status(name))).collect();
         let standby: BTreeMap<MachineName, ZoneName> = self
             .control_peers
             .iter()
@@ -358,17 +360,20 @@
             voters,
             standby,
             caught_up,
-            wanted: self.config.voters_wanted,
+            target_voters: self.config.target_voters,
             zones: self.config.zones,
         }
     }
 
-    fn voter_sight(&self, machine: &MachineName) -> VoterSight {
+    fn voter_status(&self, machine: &MachineName) -> VoterStatus {
         if *machine == self.config.name {
-            return VoterSight { silence: Millis(0), zone: Some(self.config.zone.clone()) };
+            return VoterStatus {
+                time_since_contact: Millis(0),
+                zone: Some(self.config.zone.clone()),
+            };
         }
-        let silence = self.raft.silence_of(machine).unwrap_or(Millis(0));
-        VoterSight { silence, zone: self.zones_seen.get(machine).cloned() }
+        let time_since_contact = self.raft.time_since_contact(machine).unwrap_or(Millis(0));
+        VoterStatus { time_since_contact, zone: self.zones_seen.get(machine).cloned() }
     }
 
     /// Carries out what the log asks for until it asks for nothing more.
@@ -378,10 +383,10 @@
             if ready.is_empty() {
                 break;
             }
-            ready.elections.iter().for_each(|event| self.replica_log.election(now, event));
+            ready.elections.iter().for_each(|event| self.replica_logger.log_election(now, event));
             self.carry_out(ready)?;
         }
-        self.replica_log.look(now, &self.raft);
+        self.replica_logger.observe(now, &self.raft);
         let leading = self.raft.role() == Role::Leader;
         if leading != self.was_leading {
             self.was_leading = leading;
@@ -411,7 +416,7 @@
             let token = self.reads.iter().find(|(_, waiting)| waiting.context == read.context);
             if let Some(token) = token.map(|(token, _)| *token) {
                 self.reads.remove(&token);
-                let reply = ReadReply::Newest(self.state.document.clone());
+                let reply = ReadReply::Latest(self.state.document.clone());
                 self.effects.push(ReplicaEffect::ReadReply(token, reply));
             }
         }
@@ -437,25 +442,25 @@
             return Ok(());
         };
         let command = read_command(entry.index, bytes)?;
-        let touched = self.planner.routers_touched(entry.index, &command);
+        let touched = self.planner.affected_routers(entry.index, &command);
         let closed = match &command {
             Command::CloseRouter { router, .. } => Some(router.clone()),
             _ => None,
         };
         let outcome = self.state.apply(command);
-        if outcome == Outcome::DocumentTaken
+        if outcome == ApplyOutcome::DocumentAccepted
             && let Some(document) = self.state.document.clone()
         {
             self.effects.push(ReplicaEffect::DocumentChanged(document));
         }
-        if outcome == Outcome::QuarantineChanged {
+        if outcome == ApplyOutcome::QuarantineChanged {
             self.effects.push(ReplicaEffect::QuarantineChanged);
         }
-        if outcome == Outcome::DeparturesChanged {
+        if outcome == ApplyOutcome::DeparturesChanged {
             self.effects.push(ReplicaEffect::DeparturesChanged);
         }
         self.answer_puts(&entry);
-        self.tell_routers(touched, closed);
+        self.notify_routers(touched, closed);
         if entry.index - self.raft.snapshot_index() >= SNAPSHOT_ENTRIES {
             self.take_snapshot(entry.index)?;
         }
@@ -470,21 +475,21 @@
             }
             let kept = put.index == entry.index && put.term == entry.term;
             // Another leader's entry may have taken its place.
-            let reply = if kept { PutReply::Taken } else { PutReply::Unconfirmed };
+            let reply = if kept { PutReply::Accepted } else { PutReply::Unconfirmed };
             self.reply_put(put.token, reply);
         }
     }
 
-    fn tell_routers(&mut self, touched: BTreeSet<NodeId>, closed: Option<NodeId>) {
+    fn notify_routers(&mut self, touched: BTreeSet<NodeId>, closed: Option<NodeId>) {
         if self.raft.role() != Role::Leader {
             return;
         }
         for router in touched {
             let totals = self.state.ledger.allotments(&router);
-            self.effects.push(ReplicaEffect::Allotted(router, totals));
+            self.effects.push(ReplicaEffect::Allotments(router, totals));
         }
         if let Some(router) = closed {
-            self.effects.push(ReplicaEffect::FarewellTaken(router));
+            self.effects.push(ReplicaEffect::FinalUsageAck(router));
         }
     }
 
--- a/crates/coordinator/src/replica_api.rs
+++ b/crates/coordinator/src/replica_api.rs
@@ -3,8 +3,8 @@
 use crate::DocumentCodec;
 use crate::message::{Document, RouterStatus};
 use stackpost_consensus::Envelope;
-use stackpost_gateway_core::{DepartureWord, QuarantineChange};
-use stackpost_prepaid::{Allotment, Outlook};
+use stackpost_gateway_core::{DepartureRecord, QuarantineChange};
+use stackpost_prepaid::{Allotment, BudgetForecast};
 use stackpost_storage::StoreError;
 use stackpost_types::{BackEndName, MachineName, Millis, NodeId, TenantName, Tokens, ZoneName};
 use std::collections::BTreeMap;
@@ -17,9 +17,9 @@
     /// This machine.
     pub name: MachineName,
     /// The voters of a new fleet; `None` unless the whole fleet starts for the first time.
-    pub founders: Option<Vec<MachineName>>,
+    pub initial_voters: Option<Vec<MachineName>>,
     /// Identity for a data folder that has to be made.
-    pub fresh_identity: u64,
+    pub new_identity: u64,
     /// Shortest silence of the leader before a campaign.
     pub election_timeout: Millis,
     /// Time between two heartbeats.
@@ -27,7 +27,7 @@
     /// Taken off a lease's end for clocks that run at different speeds.
     pub lease_margin: Millis,
     /// Voters wanted.
-    pub voters_wanted: usize,
+    pub target_voters: usize,
     /// The zone that this machine stands in.
     pub zone: ZoneName,
     /// Zones of the fleet.
@@ -81,7 +81,7 @@
         status: RouterStatus,
     },
     /// A router stops and says what it has spent.
-    RouterFarewell {
+    RouterFinalUsage {
         /// The router.
         router: NodeId,
         /// What it has spent.
@@ -92,7 +92,7 @@
     /// An engine has announced itself that is said to have ended.
     EngineAnnounced(BackEndName),
     /// What engines have said of their end is to be written down.
-    DepartureWords(Vec<DepartureWord>),
+    DepartureNotices(Vec<DepartureRecord>),
     /// The control machines that are connected now, with their zones.
     ControlPeers(BTreeMap<MachineName, ZoneName>),
 }
@@ -101,11 +101,11 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PutReply {
     /// It is in force, or a higher version is.
-    Taken,
+    Accepted,
     /// It is not valid and was not taken.
     Invalid(String),
     /// Another machine leads.
-    Elsewhere(Option<MachineName>),
+    NotLeader(Option<MachineName>),
     /// It may or may not be taken.
     Unconfirmed,
 }
@@ -114,11 +114,11 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReadReply {
     /// The newest configuration.
-    Newest(Option<Document>),
+    Latest(Option<Document>),
     /// Another machine leads.
-    Elsewhere(Option<MachineName>),
+    NotLeader(Option<MachineName>),
     /// This replica can't be sure.
-    Unsure,
+    Unconfirmed,
 }
 
 /// Something to do.
@@ -133,13 +133,13 @@
     /// A newer configuration is in force.
     DocumentChanged(Document),
     /// Tell a router its totals.
-    Allotted(NodeId, Vec<(TenantName, Allotment)>),
+    Allotments(NodeId, Vec<(TenantName, Allotment)>),
     /// Ask a router to give back.
     Recall(NodeId, Vec<(TenantName, Tokens)>),
     /// Tell all routers which budgets are going to run out.
-    Outlooks(BTreeMap<TenantName, Outlook>),
+    Forecasts(BTreeMap<TenantName, BudgetForecast>),
     /// Tell a router that its life is closed.
-    FarewellTaken(NodeId),
+    FinalUsageAck(NodeId),
     /// Routers are to be told which requests are let in no more.
     QuarantineChanged,
     /// Engines have said something new of their end.
--- a/crates/coordinator/src/replica_opening.rs
+++ b/crates/coordinator/src/replica_bootstrap.rs
@@ -2,7 +2,7 @@
 
 use crate::replica_api::{ReplicaConfig, ReplicaError};
 use crate::state::{Command, FleetState};
-use stackpost_consensus::{FIRST_IDENTITY, HardState, LogIndex, Restored, Snapshot, Voters};
+use stackpost_consensus::{HardState, INITIAL_IDENTITY, LogIndex, RestoredState, Snapshot, Voters};
 use stackpost_storage::{Disk, LogStore};
 
 /// Term and index of the state that a new fleet begins with.
@@ -12,23 +12,24 @@
 pub(crate) fn open_store<D: Disk>(
     config: &ReplicaConfig,
     disk: D,
-) -> Result<(LogStore<D>, Restored), ReplicaError> {
+) -> Result<(LogStore<D>, RestoredState), ReplicaError> {
     if LogStore::exists(&disk).map_err(ReplicaError::Store)? {
         return Ok(LogStore::open(disk)?);
     }
-    let founders = config.founders.iter().flatten();
-    let voters: Voters = founders.map(|machine| (machine.clone(), FIRST_IDENTITY)).collect();
+    let initial_voters = config.initial_voters.iter().flatten();
+    let voters: Voters =
+        initial_voters.map(|machine| (machine.clone(), INITIAL_IDENTITY)).collect();
     if !voters.contains_key(&config.name) {
-        let store = LogStore::create(disk, config.fresh_identity)?;
-        return Ok((store, Restored::default()));
+        let store = LogStore::create(disk, config.new_identity)?;
+        return Ok((store, RestoredState::default()));
     }
-    let mut store = LogStore::create(disk, FIRST_IDENTITY)?;
+    let mut store = LogStore::create(disk, INITIAL_IDENTITY)?;
     // Every founder begins with the same state, so that no entry has to carry it.
     let data = FleetState::default().to_snapshot();
     let snapshot = Snapshot { index: FOUNDING, term: FOUNDING, voters, data };
     let hard_state = HardState { term: FOUNDING, voted_for: None, commit: FOUNDING };
     store.install(&snapshot, &hard_state, &[])?;
-    Ok((store, Restored { hard_state, snapshot, entries: Vec::new() }))
+    Ok((store, RestoredState { hard_state, snapshot, entries: Vec::new() }))
 }
 
 /// The state in a snapshot.
--- a/crates/coordinator/src/replica_log.rs
+++ b/crates/coordinator/src/replica_logger.rs
@@ -14,15 +14,15 @@
 
 /// Writes what happens to one replica.
 #[derive(Debug)]
-pub(crate) struct ReplicaLog {
+pub(crate) struct ReplicaLogger {
     written: BTreeMap<String, Timestamp>,
     voters: BTreeMap<MachineName, u64>,
     leader_known_at: Timestamp,
 }
 
-impl ReplicaLog {
+impl ReplicaLogger {
     /// Writes what a replica found on its disk.
-    pub fn opened(raft: &Raft, identity: u64, disk_was_empty: bool, now: Timestamp) -> Self {
+    pub fn log_opened(raft: &Raft, identity: u64, disk_was_empty: bool, now: Timestamp) -> Self {
         let voters = raft.voters().clone();
         log::info!(
             step = "start",
@@ -39,9 +39,9 @@
     }
 
     /// Writes one event of an election.
-    pub fn election(&mut self, now: Timestamp, event: &ElectionEvent) {
+    pub fn log_election(&mut self, now: Timestamp, event: &ElectionEvent) {
         let line = match event {
-            ElectionEvent::PreVoteAsked { .. } => "asks for pre-votes".to_string(),
+            ElectionEvent::PreVoteRequested { .. } => "asks for pre-votes".to_string(),
             ElectionEvent::Campaigned { term } => format!("campaigns in term {term}"),
             ElectionEvent::Elected { term } => format!("elected in term {term}"),
             ElectionEvent::Refused { candidate, reason } => {
@@ -60,7 +60,7 @@
     }
 
     /// Looks at the replica: a change of voters and a long time without a leader are written.
-    pub fn look(&mut self, now: Timestamp, raft: &Raft) {
+    pub fn observe(&mut self, now: Timestamp, raft: &Raft) {
         if *raft.voters() != self.voters {
             self.voters = raft.voters().clone();
             log::info!(
--- a/crates/coordinator/src/replica_thread.rs
+++ b/crates/coordinator/src/replica_thread.rs
@@ -119,8 +119,8 @@
             self.view.send_replace(ReplicaView::default());
             std::thread::sleep(REOPEN_PAUSE);
             // A folder that has to be made after all must not take up an identity used before.
-            self.config.founders = None;
-            self.config.fresh_identity = rand::random();
+            self.config.initial_voters = None;
+            self.config.new_identity = rand::random();
         }
     }
 
--- a/crates/coordinator/src/state.rs
+++ b/crates/coordinator/src/state.rs
@@ -3,7 +3,7 @@
 use crate::message::Document;
 use serde::{Deserialize, Serialize};
 use stackpost_gateway_core::{DepartureChange, Departures, Quarantine, QuarantineChange, Suspect};
-use stackpost_prepaid::{Charge, Contact, GivenBack, Grant, LifeEnd, PrepaidLedger};
+use stackpost_prepaid::{BootTimestamp, Charge, Grant, IncarnationEnd, PrepaidLedger, TokenReturn};
 use stackpost_types::{BackEndName, NodeId, TenantName, Tokens};
 
 /// One entry of the replicated log.
@@ -19,29 +19,29 @@
     /// Hands tokens to routers.
     Grant(Vec<Grant>),
     /// Takes in what routers have given back in all.
-    GiveBack(Vec<GivenBack>),
+    ReturnTokens(Vec<TokenReturn>),
     /// Ends a router life.
     CloseRouter {
         /// The life.
         router: NodeId,
         /// What is known of its end.
-        end: LifeEnd,
+        end: IncarnationEnd,
     },
-    /// Takes in when a router was last in touch; as versions before [`Command::NoteContacts`] wrote it.
-    NoteContact {
+    /// Takes in when a router was last in touch; as versions before [`Command::RecordContacts`] wrote it.
+    RecordContact {
         /// The router.
         router: NodeId,
         /// The contact.
-        contact: Contact,
+        contact: BootTimestamp,
         /// What was gone of each of its allotments some time after.
-        gone: Vec<(TenantName, Tokens)>,
+        consumed: Vec<(TenantName, Tokens)>,
     },
     /// Changes what is held against requests under which engines have ended.
     Quarantine(QuarantineChange),
     /// Changes what engines have said of their end.
     Departures(DepartureChange),
     /// Takes in when routers were last in touch.
-    NoteContacts(Vec<RouterContact>),
+    RecordContacts(Vec<RouterContact>),
 }
 
 /// When a router was last in touch.
@@ -50,18 +50,18 @@
     /// The router.
     pub router: NodeId,
     /// The contact.
-    pub contact: Contact,
+    pub contact: BootTimestamp,
     /// What was gone of each of its allotments some time after.
-    pub gone: Vec<(TenantName, Tokens)>,
+    pub consumed: Vec<(TenantName, Tokens)>,
 }
 
 /// What applying a command did.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum ApplyOutcome {
     /// Nothing to report.
     Done,
     /// The configuration is in force.
-    DocumentTaken,
+    DocumentAccepted,
     /// A configuration with the same or a higher version was in force already.
     DocumentSuperseded,
     /// Routers are to be told something else about requests that end engines.
@@ -107,7 +107,7 @@
     }
 
     /// Applies a committed command.
-    pub fn apply(&mut self, command: Command) -> Outcome {
+    pub fn apply(&mut self, command: Command) -> ApplyOutcome {
         match command {
             Command::PutDocument { document, limits } => return self.put(document, &limits),
             Command::Grant(grants) => {
@@ -115,9 +115,9 @@
                     self.ledger.allot(&grant);
                 }
             }
-            Command::GiveBack(returns) => {
+            Command::ReturnTokens(returns) => {
                 for given in returns {
-                    self.ledger.give_back(&given);
+                    self.ledger.record_return(&given);
                 }
             }
             Command::CloseRouter { router, end } => {
@@ -125,34 +125,34 @@
                     log_charge(&router, &end, &charge);
                 }
             }
-            Command::NoteContact { router, contact, gone } => {
-                self.ledger.note_contact(&router, contact, &gone);
+            Command::RecordContact { router, contact, consumed } => {
+                self.ledger.record_contact(&router, contact, &consumed);
             }
-            Command::NoteContacts(contacts) => {
-                for RouterContact { router, contact, gone } in contacts {
-                    self.ledger.note_contact(&router, contact, &gone);
+            Command::RecordContacts(contacts) => {
+                for RouterContact { router, contact, consumed } in contacts {
+                    self.ledger.record_contact(&router, contact, &consumed);
                 }
             }
             Command::Quarantine(change) => return self.change_quarantine(change),
             Command::Departures(change) => {
                 if self.departures.apply(change) {
-                    return Outcome::DeparturesChanged;
+                    return ApplyOutcome::DeparturesChanged;
                 }
             }
         }
-        Outcome::Done
+        ApplyOutcome::Done
     }
 
-    fn put(&mut self, document: Document, limits: &[(TenantName, Tokens)]) -> Outcome {
+    fn put(&mut self, document: Document, limits: &[(TenantName, Tokens)]) -> ApplyOutcome {
         if self.document.is_some() && document.version <= self.document_version() {
-            return Outcome::DocumentSuperseded;
+            return ApplyOutcome::DocumentSuperseded;
         }
         self.document = Some(document);
         self.ledger.set_limits(limits);
-        Outcome::DocumentTaken
+        ApplyOutcome::DocumentAccepted
     }
 
-    fn change_quarantine(&mut self, change: QuarantineChange) -> Outcome {
+    fn change_quarantine(&mut self, change: QuarantineChange) -> ApplyOutcome {
         let before = self.quarantine.notice();
         self.quarantine.apply(change);
         let after = self.quarantine.notice();
@@ -165,7 +165,11 @@
         for request in before.quarantined.difference(&after.quarantined) {
             log::info!(fingerprint = request.to_string().as_str(); "request let in again");
         }
-        if after.says_the_same(&before) { Outcome::Done } else { Outcome::QuarantineChanged }
+        if after.has_same_requests(&before) {
+            ApplyOutcome::Done
+        } else {
+            ApplyOutcome::QuarantineChanged
+        }
     }
 
     /// The state as bytes.
@@ -190,11 +194,11 @@
     }
 }
 
-fn log_charge(router: &NodeId, end: &LifeEnd, charge: &Charge) {
+fn log_charge(router: &NodeId, end: &IncarnationEnd, charge: &Charge) {
     let end = match end {
-        LifeEnd::Told(_) => "told",
-        LifeEnd::Before(_) => "bounded",
-        LifeEnd::Unknown => "unknown",
+        IncarnationEnd::Reported(_) => "told",
+        IncarnationEnd::EndedBefore(_) => "bounded",
+        IncarnationEnd::Unknown => "unknown",
     };
     log::info!(
         router = router.to_string().as_str(),
--- a/crates/coordinator/src/voters.rs
+++ b/crates/coordinator/src/voters.rs
@@ -21,9 +21,9 @@
 
 /// What the leader knows of one voter.
 #[derive(Clone, Debug)]
-pub struct VoterSight {
+pub struct VoterStatus {
     /// Time since it was last heard from; zero for the leader itself.
-    pub silence: Millis,
+    pub time_since_contact: Millis,
     /// Its zone, if it is connected or has been.
     pub zone: Option<ZoneName>,
 }
@@ -34,14 +34,14 @@
     /// The leader itself.
     pub own: MachineName,
     /// The voters.
-    pub voters: BTreeMap<MachineName, VoterSight>,
+    pub voters: BTreeMap<MachineName, VoterStatus>,
     /// Machines that do not vote and are connected now, with their zones.
     pub standby: BTreeMap<MachineName, ZoneName>,
     /// Those among them, and voters with a new data folder, that hold the log; with their
     /// identities.
     pub caught_up: BTreeMap<MachineName, u64>,
     /// Voters wanted.
-    pub wanted: usize,
+    pub target_voters: usize,
     /// Zones in which machines may serve control.
     pub zones: usize,
 }
@@ -52,7 +52,7 @@
     /// Nothing to do.
     None,
     /// Send the log to just these machines that do not vote.
-    Teach(BTreeSet<MachineName>),
+    SetLearners(BTreeSet<MachineName>),
     /// Let a machine vote under an identity.
     Add(MachineName, u64),
     /// Let a machine vote no more.
@@ -65,7 +65,7 @@
     if let Some((machine, identity)) = renewed {
         return VoterStep::Add(machine.clone(), *identity);
     }
-    if view.voters.len() > view.wanted {
+    if view.voters.len() > view.target_voters {
         return view.surplus_voter().map_or(VoterStep::None, VoterStep::Remove);
     }
     let candidates = view.candidates();
@@ -73,7 +73,7 @@
     match ready {
         Some((machine, identity)) => VoterStep::Add(machine.clone(), *identity),
         None if candidates.is_empty() => VoterStep::None,
-        None => VoterStep::Teach(candidates),
+        None => VoterStep::SetLearners(candidates),
     }
 }
 
@@ -86,8 +86,8 @@
         }
         let others = self.voters.iter().filter(|(machine, _)| **machine != self.own);
         let crowding =
-            |sight: &VoterSight| sight.zone.as_ref().map_or(0, |zone| self.voters_in(zone));
-        others.max_by_key(|(_, sight)| crowding(sight)).map(|(machine, _)| machine.clone())
+            |status: &VoterStatus| status.zone.as_ref().map_or(0, |zone| self.voters_in(zone));
+        others.max_by_key(|(_, status)| crowding(status)).map(|(machine, _)| machine.clone())
     }
 
     /// Machines that may take a place: a free one, that of a silent voter, or that of a voter in a
@@ -99,12 +99,17 @@
             .filter(|(_, zone)| self.voters_in(zone) < self.most_in_a_zone())
             .map(|(machine, _)| machine.clone())
             .collect();
-        let place_is_free = self.voters.len() < self.wanted;
-        let silence = self.most_silent().map(|(_, silence)| silence);
-        if !fitting.is_empty() && (place_is_free || silence.is_some() || self.is_crowded()) {
+        let place_is_free = self.voters.len() < self.target_voters;
+        let time_since_contact =
+            self.most_silent().map(|(_, time_since_contact)| time_since_contact);
+        if !fitting.is_empty()
+            && (place_is_free || time_since_contact.is_some() || self.is_crowded())
+        {
             return fitting;
         }
-        if place_is_free || silence.is_some_and(|time| time >= REPLACE_FROM_ANY_ZONE_AFTER) {
+        if place_is_free
+            || time_since_contact.is_some_and(|time| time >= REPLACE_FROM_ANY_ZONE_AFTER)
+        {
             return self.standby.keys().cloned().collect();
         }
         BTreeSet::new()
@@ -114,25 +119,27 @@
     fn most_silent(&self) -> Option<(MachineName, Millis)> {
         self.voters
             .iter()
-            .filter(|(machine, sight)| **machine != self.own && sight.silence >= REPLACE_AFTER)
-            .max_by_key(|(_, sight)| sight.silence)
-            .map(|(machine, sight)| (machine.clone(), sight.silence))
+            .filter(|(machine, status)| {
+                **machine != self.own && status.time_since_contact >= REPLACE_AFTER
+            })
+            .max_by_key(|(_, status)| status.time_since_contact)
+            .map(|(machine, status)| (machine.clone(), status.time_since_contact))
     }
 
     /// Voters in a zone that are not silent.
     fn voters_in(&self, zone: &ZoneName) -> usize {
-        let heard = self.voters.values().filter(|sight| sight.silence < REPLACE_AFTER);
-        heard.filter(|sight| sight.zone.as_ref() == Some(zone)).count()
+        let heard = self.voters.values().filter(|status| status.time_since_contact < REPLACE_AFTER);
+        heard.filter(|status| status.zone.as_ref() == Some(zone)).count()
     }
 
     /// Voters that one zone may hold.
     fn most_in_a_zone(&self) -> usize {
-        self.wanted.div_ceil(self.zones.max(1))
+        self.target_voters.div_ceil(self.zones.max(1))
     }
 
     fn is_crowded(&self) -> bool {
         let zones: BTreeSet<&ZoneName> =
-            self.voters.values().filter_map(|sight| sight.zone.as_ref()).collect();
+            self.voters.values().filter_map(|status| status.zone.as_ref()).collect();
         zones.into_iter().any(|zone| self.voters_in(zone) > self.most_in_a_zone())
     }
 }
--- a/crates/coordinator/tests/control_load.rs
+++ b/crates/coordinator/tests/control_load.rs
@@ -6,7 +6,7 @@
 mod support;
 
 use stackpost_coordinator::{ReplicaEvent, RouterStatus, RouterVersions};
-use stackpost_prepaid::{AccountReport, Contact, SteadyTime};
+use stackpost_prepaid::{AccountReport, BootTimestamp, SteadyTime};
 use stackpost_types::{Incarnation, MachineName, NodeId, TenantName, Tokens};
 use support::*;
 
@@ -30,11 +30,11 @@
         true => vec![(TenantName::new(TENANT), account)],
         false => Vec::new(),
     };
-    let contact = Contact { boot: number as u64, at: SteadyTime(world.now) };
+    let contact = BootTimestamp { boot: number as u64, at: SteadyTime(world.now) };
     let status = RouterStatus {
         versions: RouterVersions::default(),
         accepts_unconfirmed: false,
-        started: Contact { boot: number as u64, at: SteadyTime(1) },
+        started: BootTimestamp { boot: number as u64, at: SteadyTime(1) },
         echo: None,
         contact: Some(contact),
         accounts,
@@ -51,7 +51,7 @@
     let all_report = |world: &mut World| {
         for number in 0..routers {
             let report = report(world, number);
-            world.give(leader, report);
+            world.send_event(leader, report);
         }
         world.run_for(REPORTED_EVERY);
     };
--- a/crates/coordinator/tests/departures.rs
+++ b/crates/coordinator/tests/departures.rs
@@ -3,10 +3,10 @@
 mod support;
 
 use rand::Rng;
-use stackpost_coordinator::{Command, FleetState, Outcome, ReplicaEvent};
-use stackpost_gateway_core::{DepartureChange, DepartureWord, Departures, EngineState};
+use stackpost_coordinator::{ApplyOutcome, Command, FleetState, ReplicaEvent};
+use stackpost_gateway_core::{DepartureChange, DepartureRecord, Departures, EngineState};
 use std::collections::BTreeMap;
-use support::{FOUNDERS, MACHINES, World, seeds};
+use support::{INITIAL_VOTERS, MACHINES, World, seeds};
 
 /// Seeds that every run plays.
 const SEEDS: u64 = 60;
@@ -17,13 +17,13 @@
 /// Longer than a word is kept.
 const KEPT: u64 = 200_000;
 
-fn word(engine: usize, state: EngineState) -> DepartureWord {
-    DepartureWord { engine: format!("engine-{engine}").as_str().into(), state, sequence: 3 }
+fn word(engine: usize, state: EngineState) -> DepartureRecord {
+    DepartureRecord { engine: format!("engine-{engine}").as_str().into(), state, sequence: 3 }
 }
 
 /// Asks a replica to write a word down; only the leader does.
-fn say(world: &mut World, machine: usize, word: DepartureWord) {
-    world.give(machine, ReplicaEvent::DepartureWords(vec![word]));
+fn say(world: &mut World, machine: usize, word: DepartureRecord) {
+    world.send_event(machine, ReplicaEvent::DepartureNotices(vec![word]));
 }
 
 fn held(world: &World) -> impl Iterator<Item = &Departures> {
@@ -35,7 +35,7 @@
 }
 
 /// A word is acknowledged by whichever replica holds it.
-fn is_acknowledged(world: &World, word: &DepartureWord) -> bool {
+fn is_acknowledged(world: &World, word: &DepartureRecord) -> bool {
     held(world).any(|departures| departures.covers(word))
 }
 
@@ -52,7 +52,7 @@
         let state = if said % 2 == 0 { EngineState::Gone } else { EngineState::Draining };
         say(&mut world, machine, word(said, state));
         said += 1;
-        let latest: Vec<DepartureWord> = (said.saturating_sub(8)..said)
+        let latest: Vec<DepartureRecord> = (said.saturating_sub(8)..said)
             .map(|engine| {
                 let state = if engine % 2 == 0 { EngineState::Gone } else { EngineState::Draining };
                 word(engine, state)
@@ -67,13 +67,13 @@
             }
         }
         if world.rng.random_ratio(1, 4) {
-            world.strike();
+            world.inject_fault();
         }
     }
     world.heal();
     world.run_for(REST);
     let voters = world.voters();
-    assert_eq!(voters.len(), FOUNDERS, "seed {seed}");
+    assert_eq!(voters.len(), INITIAL_VOTERS, "seed {seed}");
     for machine in world.machines.iter().filter(|machine| voters.contains(&machine.name)) {
         let replica = machine.replica.as_ref().expect("it runs");
         for word in acknowledged.values() {
@@ -92,10 +92,10 @@
 
 #[test]
 fn a_word_is_written_down_once_and_forgotten_after_a_while() {
-    let mut world = World::with_machines(5, FOUNDERS);
+    let mut world = World::with_machines(5, INITIAL_VOTERS);
     world.run_for(3_000);
     for _ in 0..20 {
-        for machine in 0..FOUNDERS {
+        for machine in 0..INITIAL_VOTERS {
             say(&mut world, machine, word(1, EngineState::Gone));
         }
         world.run_for(300);
@@ -108,10 +108,10 @@
 
 #[test]
 fn nothing_is_written_down_without_a_majority() {
-    let mut world = World::with_machines(6, FOUNDERS);
+    let mut world = World::with_machines(6, INITIAL_VOTERS);
     world.run_for(3_000);
     let leader = world.leader().expect("one leads");
-    world.cut_off(leader);
+    world.isolate(leader);
     say(&mut world, leader, word(1, EngineState::Gone));
     world.run_for(5_000);
     assert!(!is_acknowledged(&world, &word(1, EngineState::Gone)));
@@ -121,8 +121,8 @@
 fn a_snapshot_of_the_version_before_is_read() {
     let mut state = FleetState::default();
     let earlier = state.to_snapshot();
-    let change = DepartureChange::Said(vec![word(1, EngineState::Gone)]);
-    assert_eq!(state.apply(Command::Departures(change)), Outcome::DeparturesChanged);
+    let change = DepartureChange::Announced(vec![word(1, EngineState::Gone)]);
+    assert_eq!(state.apply(Command::Departures(change)), ApplyOutcome::DeparturesChanged);
     let now = state.to_snapshot();
     assert_eq!(FleetState::from_snapshot(&now), Ok(state));
     // Without words the departures are two numbers at the end: none held, and the revision.
--- a/crates/coordinator/tests/quarantine.rs
+++ b/crates/coordinator/tests/quarantine.rs
@@ -29,19 +29,22 @@
 }
 
 fn sighting(at_engine: usize) -> QuarantineChange {
-    QuarantineChange::Seen(vec![CrashSighting { request: request(), engine: engine(at_engine) }])
+    QuarantineChange::CrashesSeen(vec![CrashSighting {
+        request: request(),
+        engine: engine(at_engine),
+    }])
 }
 
 fn report(world: &mut World, at_engine: usize) {
     world.run_until(|world| world.leader().is_some());
     let leader = world.leader().expect("one leads");
-    world.give(leader, ReplicaEvent::CrashReport(sighting(at_engine)));
+    world.send_event(leader, ReplicaEvent::CrashReport(sighting(at_engine)));
     world.run_for(500);
 }
 
 fn announce(world: &mut World, number: usize) {
     let leader = world.leader().expect("one leads");
-    world.give(leader, ReplicaEvent::EngineAnnounced(engine(number)));
+    world.send_event(leader, ReplicaEvent::EngineAnnounced(engine(number)));
     world.run_for(500);
 }
 
@@ -53,9 +56,9 @@
 fn world_with_three_engines_lost() -> World {
     let mut world = World::new(7);
     world.run_for(SETTLED);
-    (0..ENGINES_LOST).for_each(|at_engine| report(&mut world, at_engine));
+    (0..CRASHES_TO_QUARANTINE).for_each(|at_engine| report(&mut world, at_engine));
     world.run_for(SETTLED);
-    assert!(quarantined(&world) >= FOUNDERS, "every voter knows");
+    assert!(quarantined(&world) >= INITIAL_VOTERS, "every voter knows");
     world
 }
 
@@ -65,37 +68,37 @@
     let leader = world.leader().expect("one leads");
     world.stop(leader, 500);
     world.run_for(SETTLED);
-    assert!(quarantined(&world) >= FOUNDERS);
+    assert!(quarantined(&world) >= INITIAL_VOTERS);
     for machine in 0..world.machines.len() {
-        world.machines[machine].disk.lose_power(0);
+        world.machines[machine].disk.simulate_power_loss(0);
         world.stop(machine, 1_000);
     }
     world.run_for(2 * SETTLED);
-    assert!(quarantined(&world) >= FOUNDERS);
+    assert!(quarantined(&world) >= INITIAL_VOTERS);
 }
 
 #[test]
 fn sightings_of_several_leaders_add_up() {
     let mut world = World::new(8);
     world.run_for(SETTLED);
-    for at_engine in 0..ENGINES_LOST {
+    for at_engine in 0..CRASHES_TO_QUARANTINE {
         report(&mut world, at_engine);
         let leader = world.leader().expect("one leads");
         world.stop(leader, 500);
         world.run_for(SETTLED);
     }
-    assert!(quarantined(&world) >= FOUNDERS);
+    assert!(quarantined(&world) >= INITIAL_VOTERS);
 }
 
 #[test]
 fn an_engine_that_goes_on_announcing_itself_has_not_ended() {
     let mut world = world_with_three_engines_lost();
     announce(&mut world, 0);
-    assert!(quarantined(&world) >= FOUNDERS, "one announcement may have been held up");
+    assert!(quarantined(&world) >= INITIAL_VOTERS, "one announcement may have been held up");
     announce(&mut world, 0);
     assert_eq!(quarantined(&world), 0);
     report(&mut world, 5);
-    assert!(quarantined(&world) >= FOUNDERS, "the other two engines still count");
+    assert!(quarantined(&world) >= INITIAL_VOTERS, "the other two engines still count");
 }
 
 /// Routers tell what is new more than once, in case a report was lost.
@@ -115,7 +118,7 @@
     assert_eq!(quarantined(&world), 0);
     report(&mut world, 9);
     world.run_for(QUARANTINE_OVER);
-    assert!(quarantined(&world) >= FOUNDERS, "twice as long");
+    assert!(quarantined(&world) >= INITIAL_VOTERS, "twice as long");
 }
 
 #[test]
@@ -123,7 +126,7 @@
     let mut world = world_with_three_engines_lost();
     let leader = world.leader().expect("one leads");
     let cleared = QuarantineChange::Cleared(vec![request()]);
-    world.give(leader, ReplicaEvent::CrashReport(cleared));
+    world.send_event(leader, ReplicaEvent::CrashReport(cleared));
     world.run_for(SETTLED);
     assert_eq!(quarantined(&world), 0);
 }
--- a/crates/coordinator/tests/replacement.rs
+++ b/crates/coordinator/tests/replacement.rs
@@ -4,7 +4,7 @@
 mod support;
 
 use rand::Rng;
-use support::{FOUNDERS, TICK, World, ZONES, name, seeds};
+use support::{INITIAL_VOTERS, TICK_MS, World, ZONES, name, seeds};
 
 /// Time after its start in which a new or emptied machine has to be up to date.
 const CATCH_UP: u64 = 4_000;
@@ -25,7 +25,7 @@
 /// ends once, then that leader loses its disk; each leader had led for less than eight seconds.
 #[test]
 fn a_lost_voter_is_replaced_before_the_next_disk_is_lost() {
-    let mut world = World::with_machines(1, FOUNDERS);
+    let mut world = World::with_machines(1, INITIAL_VOTERS);
     world.run_for(3_000);
     let first = world.leader().expect("the founders have elected one");
     world.replace(first, PAUSE);
@@ -39,7 +39,7 @@
     assert!(world.acknowledged > 0);
     world.lose_disk(third, 2_000);
     world.run_for(10_000);
-    assert!(world.newest_read(), "one disk at a time was lost, and nobody leads");
+    assert!(world.any_read_answered(), "one disk at a time was lost, and nobody leads");
 }
 
 /// Losses of disks with the catching up between them, and ends of processes at any time, also of
@@ -47,7 +47,7 @@
 #[test]
 fn one_disk_after_the_other_may_be_lost() {
     for seed in seeds(SEEDS) {
-        let mut world = World::with_machines(seed, FOUNDERS);
+        let mut world = World::with_machines(seed, INITIAL_VOTERS);
         world.run_for(3_000);
         for loss in 0..LOSSES {
             lose_one(&mut world);
@@ -55,11 +55,11 @@
             put_everywhere(&mut world);
             let rest = world.rng.random_range(300..3_000);
             world.run_for(rest);
-            assert!(world.newest_read(), "seed {seed}: nobody answers after loss {loss}");
+            assert!(world.any_read_answered(), "seed {seed}: nobody answers after loss {loss}");
         }
         world.all_lose_power();
         world.run_for(12_000);
-        assert!(world.newest_read(), "seed {seed}: nobody answers at the end");
+        assert!(world.any_read_answered(), "seed {seed}: nobody answers at the end");
         assert!(world.acknowledged > 0);
     }
 }
@@ -82,7 +82,7 @@
     let end = world.now + time;
     let kills = world.rng.random_range(0..2);
     for _ in 0..kills {
-        let pause = world.rng.random_range(TICK..time / 2);
+        let pause = world.rng.random_range(TICK_MS..time / 2);
         world.run_for(pause);
         if let Some(leader) = world.leader() {
             world.stop(leader, 300);
@@ -96,19 +96,20 @@
 #[test]
 fn a_newcomer_votes_before_it_has_heard_that_it_may() {
     for seed in seeds(SEEDS) {
-        let mut world = World::with_machines(seed, FOUNDERS);
+        let mut world = World::with_machines(seed, INITIAL_VOTERS);
         world.run_for(3_000);
-        let gone = (0..FOUNDERS).find(|one| world.leader() != Some(*one)).expect("a follower");
+        let gone =
+            (0..INITIAL_VOTERS).find(|one| world.leader() != Some(*one)).expect("a follower");
         let newcomer = world.replace(gone, PAUSE);
         world.run_until(|world| world.voters().contains(&name(newcomer)));
         let leader = world.leader().expect("it has just let the newcomer in");
-        world.lose_mail();
-        world.cut_off(leader);
+        world.drop_messages_in_flight();
+        world.isolate(leader);
         world.put(leader);
         world.stop(leader, 300);
         world.heal();
         world.run_for(8_000);
-        assert!(world.newest_read(), "seed {seed}: nobody leads");
+        assert!(world.any_read_answered(), "seed {seed}: nobody leads");
     }
 }
 
@@ -116,15 +117,15 @@
 /// loss of that zone would take the majority.
 #[test]
 fn a_voter_is_not_replaced_from_a_zone_that_holds_one() {
-    let mut world = World::with_machines(3, FOUNDERS);
+    let mut world = World::with_machines(3, INITIAL_VOTERS);
     world.add(0);
     world.add(1);
     world.run_for(3_000);
-    let founders = world.voters();
-    assert_eq!(founders.len(), FOUNDERS);
-    world.cut_off(2);
+    let initial_voters = world.voters();
+    assert_eq!(initial_voters.len(), INITIAL_VOTERS);
+    world.isolate(2);
     world.run_for(5_500);
-    assert_eq!(world.voters(), founders);
+    assert_eq!(world.voters(), initial_voters);
     let fitting = world.add(2);
     world.run_for(1_000);
     assert!(
@@ -138,16 +139,16 @@
 /// machine in the empty zone later.
 #[test]
 fn voters_are_spread_over_the_zones_again() {
-    let mut world = World::with_machines(4, FOUNDERS);
+    let mut world = World::with_machines(4, INITIAL_VOTERS);
     let spare = world.add(0);
     world.run_for(3_000);
-    world.cut_off(2);
+    world.isolate(2);
     world.run_for(10_000);
     assert!(world.voters().contains(&name(spare)), "no machine of the third zone is left");
     world.heal();
     world.run_for(3_000);
-    assert_eq!(world.voters().len(), FOUNDERS);
-    let zones = (0..FOUNDERS + 1).filter(|one| world.voters().contains(&name(*one)));
+    assert_eq!(world.voters().len(), INITIAL_VOTERS);
+    let zones = (0..INITIAL_VOTERS + 1).filter(|one| world.voters().contains(&name(*one)));
     let zones: std::collections::BTreeSet<usize> = zones.map(|one| one % ZONES).collect();
     assert_eq!(zones.len(), ZONES, "each zone holds one: {:?}", world.voters());
 }
@@ -157,22 +158,26 @@
 #[test]
 fn a_loss_of_power_in_the_middle_of_a_replacement_is_borne() {
     for seed in seeds(SEEDS) {
-        let mut world = World::with_machines(seed, FOUNDERS);
+        let mut world = World::with_machines(seed, INITIAL_VOTERS);
         world.run_for(3_000);
         put_everywhere(&mut world);
         world.run_for(500);
-        let gone = (seed as usize) % FOUNDERS;
+        let gone = (seed as usize) % INITIAL_VOTERS;
         let newcomer = world.replace(gone, PAUSE);
         world.run_until(|world| world.voters().contains(&name(newcomer)));
-        assert_eq!(world.voters().len(), FOUNDERS + 1, "seed {seed}: one added, none removed yet");
+        assert_eq!(
+            world.voters().len(),
+            INITIAL_VOTERS + 1,
+            "seed {seed}: one added, none removed yet"
+        );
         for machine in (0..world.machines.len()).filter(|machine| *machine != gone) {
-            world.machines[machine].disk.lose_power(0);
+            world.machines[machine].disk.simulate_power_loss(0);
             world.stop(machine, 600);
         }
         world.run_for(12_000);
         assert!(world.acknowledged > 0);
-        assert!(world.newest_read(), "seed {seed}: nobody leads after the loss of power");
-        assert_eq!(world.voters().len(), FOUNDERS, "seed {seed}: the lost voter is removed");
+        assert!(world.any_read_answered(), "seed {seed}: nobody leads after the loss of power");
+        assert_eq!(world.voters().len(), INITIAL_VOTERS, "seed {seed}: the lost voter is removed");
         assert!(!world.voters().contains(&name(gone)), "seed {seed}");
     }
 }
--- a/crates/coordinator/tests/replica_lines.rs
+++ b/crates/coordinator/tests/replica_logging.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use std::sync::Mutex;
-use support::{FOUNDERS, World};
+use support::{INITIAL_VOTERS, World};
 
 /// Keeps all lines with their fields.
 struct Lines(Mutex<Vec<String>>);
@@ -38,7 +38,7 @@
 fn a_lost_majority_can_be_told_from_failing_elections() {
     log::set_logger(&LINES).expect("no other logger");
     log::set_max_level(log::LevelFilter::Info);
-    let mut world = World::with_machines(5, FOUNDERS);
+    let mut world = World::with_machines(5, INITIAL_VOTERS);
     world.run_for(3_000);
     assert_eq!(lines_with(&["replica opened disk_was_empty=true identity=1 votes=true"]), 3);
     assert_eq!(lines_with(&["elected in term"]), 1);
--- a/crates/coordinator/tests/replicas.rs
+++ b/crates/coordinator/tests/replicas.rs
@@ -7,7 +7,9 @@
 use stackpost_coordinator::ReplicaEvent;
 use stackpost_types::Timestamp;
 use std::sync::Arc;
-use support::{FOUNDERS, MACHINES, Question, TICK, World, content, name, seeds};
+use support::{
+    INITIAL_VOTERS, MACHINES, PendingRequest, TICK_MS, World, document_text, name, seeds,
+};
 
 /// Seeds that every run plays.
 const SEEDS: u64 = 60;
@@ -28,12 +30,12 @@
         let machine = world.rng.random_range(0..MACHINES);
         world.read(machine);
         if world.rng.random_ratio(1, 4) {
-            world.strike();
+            world.inject_fault();
         }
     }
     world.heal();
     world.run_for(REST);
-    assert!(world.newest_read(), "seed {seed}: nobody answers a read at the end");
+    assert!(world.any_read_answered(), "seed {seed}: nobody answers a read at the end");
     world.acknowledged
 }
 
@@ -51,11 +53,11 @@
         world.run_for(3_000);
         world.all_lose_power();
         while world.machines.iter().any(|machine| machine.replica.is_none()) {
-            world.run_for(TICK);
+            world.run_for(TICK_MS);
         }
         let started = world.now;
-        while world.leaders() == 0 {
-            world.run_for(TICK);
+        while world.active_leader_count() == 0 {
+            world.run_for(TICK_MS);
         }
         let took = world.now - started;
         assert!(took < 650, "seed {seed}: {took} ms until one leads");
@@ -69,13 +71,17 @@
         let mut world = World::new(seed);
         world.run_for(3_000);
         let leader = world.leader().expect("one leads");
-        world.cut_off(leader);
+        world.isolate(leader);
         for other in (0..MACHINES).filter(|other| *other != leader) {
             world.stop(other, 0);
         }
         // No two may lead at any moment, which every step looks at.
         world.run_for(3_000);
-        assert_eq!(world.leaders(), 1, "seed {seed}: the others have elected one by now");
+        assert_eq!(
+            world.active_leader_count(),
+            1,
+            "seed {seed}: the others have elected one by now"
+        );
     }
 }
 
@@ -96,11 +102,11 @@
         .map(|replica| replica.voters().clone())
         .next()
         .expect("the others have a leader");
-    assert_eq!(voters.len(), FOUNDERS);
+    assert_eq!(voters.len(), INITIAL_VOTERS);
     assert!(!voters.contains_key(&name(0)), "the one that is gone votes no more");
     world.stop(1, u64::MAX / 2);
     world.run_for(3_000);
-    assert!(world.newest_read(), "the newcomer makes a majority with the last founder");
+    assert!(world.any_read_answered(), "the newcomer makes a majority with the last founder");
 }
 
 #[test]
@@ -115,28 +121,28 @@
     world.run_for(8_000);
     let wiped = world.machines[1].replica.as_ref().expect("it runs again");
     assert!(wiped.is_voter());
-    assert_ne!(wiped.voters()[&name(1)], stackpost_consensus::FIRST_IDENTITY);
+    assert_ne!(wiped.voters()[&name(1)], stackpost_consensus::INITIAL_IDENTITY);
 }
 
 #[test]
 fn other_content_under_a_held_version_changes_nothing() {
     let mut world = World::new(3);
     world.run_for(3_000);
-    for machine in 0..FOUNDERS {
-        let token = world.token(Question::Put(9));
-        let bytes: Arc<[u8]> = content(9).into_bytes().into();
-        world.give(machine, ReplicaEvent::Put { token, bytes });
+    for machine in 0..INITIAL_VOTERS {
+        let token = world.token(PendingRequest::Put(9));
+        let bytes: Arc<[u8]> = document_text(9).into_bytes().into();
+        world.send_event(machine, ReplicaEvent::Put { token, bytes });
     }
     world.run_for(1_000);
     assert_eq!(world.acknowledged, 9);
-    for machine in 0..FOUNDERS {
-        let token = world.token(Question::Put(9));
+    for machine in 0..INITIAL_VOTERS {
+        let token = world.token(PendingRequest::Put(9));
         let bytes: Arc<[u8]> = b"9:other".to_vec().into();
-        world.give(machine, ReplicaEvent::Put { token, bytes });
+        world.send_event(machine, ReplicaEvent::Put { token, bytes });
     }
     world.run_for(1_000);
     // The read compares the content, too.
-    assert!(world.newest_read());
+    assert!(world.any_read_answered());
 }
 
 /// What was committed is known after a restart, without any other replica: routers that are out of
@@ -144,19 +150,19 @@
 #[test]
 fn a_replica_that_restarts_alone_knows_what_was_committed() {
     for seed in seeds(20) {
-        let mut world = World::with_machines(seed, FOUNDERS);
+        let mut world = World::with_machines(seed, INITIAL_VOTERS);
         world.run_for(3_000);
-        for machine in 0..FOUNDERS {
+        for machine in 0..INITIAL_VOTERS {
             world.put(machine);
         }
         world.run_for(1_500);
         assert!(world.acknowledged > 0);
-        for machine in 0..FOUNDERS {
-            world.machines[machine].disk.lose_power(0);
+        for machine in 0..INITIAL_VOTERS {
+            world.machines[machine].disk.simulate_power_loss(0);
             world.stop(machine, 600);
         }
-        for machine in 0..FOUNDERS {
-            world.cut_off(machine);
+        for machine in 0..INITIAL_VOTERS {
+            world.isolate(machine);
         }
         world.run_for(3_000);
         for machine in &world.machines {
--- a/crates/coordinator/tests/router_peers.rs
+++ b/crates/coordinator/tests/router_peers.rs
@@ -1,27 +1,27 @@
 //! Which other routers a router is told of.
 
-use stackpost_coordinator::{PEERS_PER_ROUTER, peers_of};
-use stackpost_gateway_core::RouterSite;
+use stackpost_coordinator::{PEERS_PER_ROUTER, select_peers};
+use stackpost_gateway_core::RouterEndpoint;
 use stackpost_types::ZoneName;
 
-fn site(zone: &str, number: u16) -> RouterSite {
+fn endpoint(zone: &str, number: u16) -> RouterEndpoint {
     let address = std::net::SocketAddr::from(([127, 0, 0, 1], number));
-    RouterSite { zone: ZoneName::new(zone), address }
+    RouterEndpoint { zone: ZoneName::new(zone), address }
 }
 
-fn sites(zones: &[(&str, u16)]) -> Vec<RouterSite> {
-    let mut sites: Vec<RouterSite> = zones
+fn endpoints(zones: &[(&str, u16)]) -> Vec<RouterEndpoint> {
+    let mut endpoints: Vec<RouterEndpoint> = zones
         .iter()
-        .flat_map(|(zone, count)| (0..*count).map(|number| site(zone, 1_000 + number)))
+        .flat_map(|(zone, count)| (0..*count).map(|number| endpoint(zone, 1_000 + number)))
         .collect();
-    sites.sort();
-    sites
+    endpoints.sort();
+    endpoints
 }
 
 #[test]
 fn routers_of_the_own_zone_come_first() {
-    let sites = sites(&[("east", 4), ("west", 130)]);
-    let peers = peers_of(&sites, &site("east", 1_001));
+    let endpoints = endpoints(&[("east", 4), ("west", 130)]);
+    let peers = select_peers(&endpoints, &endpoint("east", 1_001));
     assert_eq!(peers.len(), PEERS_PER_ROUTER);
     let in_zone: Vec<u16> = peers[..3].iter().map(|address| address.port()).collect();
     assert_eq!(in_zone, [1_002, 1_003, 1_000], "each router begins with another one");
@@ -29,10 +29,10 @@
 
 #[test]
 fn no_router_is_told_of_itself() {
-    let alone = sites(&[("east", 1)]);
-    assert!(peers_of(&alone, &alone[0]).is_empty());
-    let many = sites(&[("east", 20)]);
+    let alone = endpoints(&[("east", 1)]);
+    assert!(select_peers(&alone, &alone[0]).is_empty());
+    let many = endpoints(&[("east", 20)]);
     for own in &many {
-        assert!(!peers_of(&many, own).contains(&own.address));
+        assert!(!select_peers(&many, own).contains(&own.address));
     }
 }
--- a/crates/coordinator/tests/support/mod.rs
+++ b/crates/coordinator/tests/support/mod.rs
@@ -12,13 +12,13 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-pub const FOUNDERS: usize = 3;
+pub const INITIAL_VOTERS: usize = 3;
 pub const MACHINES: usize = 5;
 pub const ZONES: usize = 3;
 /// The tenant with a budget.
 pub const TENANT: &str = "ferry";
 /// Time between two ticks, in milliseconds.
-pub const TICK: u64 = 25;
+pub const TICK_MS: u64 = 25;
 
 /// The seeds of a test: `count` of them from zero on, unless STACKPOST_SEED_OFFSET and
 /// STACKPOST_SEED_COUNT say otherwise.
@@ -60,7 +60,7 @@
     pub name: MachineName,
     pub disk: MemoryDisk,
     pub replica: Option<Replica<MemoryDisk>>,
-    pub up_at: u64,
+    pub restart_at: u64,
     pub zone: ZoneName,
     /// Until when the machine is suspended: it does nothing, and what is sent to it waits.
     pub suspended_until: u64,
@@ -73,7 +73,7 @@
         let zone = ZoneName::new(format!("zone-{zone}"));
         let disk = MemoryDisk::default();
         let name = name(machine);
-        Self { name, disk, replica: None, up_at: 0, zone, suspended_until: 0, clock_behind: 0 }
+        Self { name, disk, replica: None, restart_at: 0, zone, suspended_until: 0, clock_behind: 0 }
     }
 }
 
@@ -83,17 +83,17 @@
     pub machines: Vec<Machine>,
     /// Pairs that can't reach one another.
     cut: BTreeSet<(usize, usize)>,
-    mail: BTreeMap<(u64, u64), (usize, Envelope)>,
+    in_flight: BTreeMap<(u64, u64), (usize, Envelope)>,
     sent: u64,
     next_version: u64,
-    asked: BTreeMap<u64, Question>,
+    asked: BTreeMap<u64, PendingRequest>,
     pub acknowledged: u64,
     next_token: u64,
     founded: bool,
 }
 
 #[derive(Clone, Copy)]
-pub enum Question {
+pub enum PendingRequest {
     Put(u64),
     /// A read with what had been acknowledged when it was asked.
     Read(u64),
@@ -117,7 +117,7 @@
             rng: ChaCha8Rng::seed_from_u64(seed),
             machines,
             cut: BTreeSet::new(),
-            mail: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             sent: 0,
             next_version: 1,
             asked: BTreeMap::new(),
@@ -133,15 +133,15 @@
     }
 
     pub fn start(&mut self, machine: usize) {
-        let founders = (!self.founded).then(|| (0..FOUNDERS).map(name).collect());
+        let initial_voters = (!self.founded).then(|| (0..INITIAL_VOTERS).map(name).collect());
         let config = ReplicaConfig {
             name: name(machine),
-            founders,
-            fresh_identity: self.rng.random(),
+            initial_voters,
+            new_identity: self.rng.random(),
             election_timeout: Millis(700),
             heartbeat_interval: Millis(150),
             lease_margin: Millis(100),
-            voters_wanted: FOUNDERS,
+            target_voters: INITIAL_VOTERS,
             zone: self.machines[machine].zone.clone(),
             zones: ZONES,
             seed: self.rng.random(),
@@ -150,7 +150,7 @@
         let disk = self.machines[machine].disk.clone();
         let replica = Replica::open(config, disk, Timestamp(self.now));
         // A folder that can't be written yet is opened again later.
-        self.machines[machine].up_at = self.now + 300;
+        self.machines[machine].restart_at = self.now + 300;
         self.machines[machine].replica = replica.ok();
     }
 
@@ -160,7 +160,7 @@
         let newcomer = self.machines.len();
         self.machines.push(Machine::empty(newcomer, 0));
         self.machines[newcomer].zone = self.machines[machine].zone.clone();
-        self.machines[newcomer].up_at = self.now + pause;
+        self.machines[newcomer].restart_at = self.now + pause;
         newcomer
     }
 
@@ -178,8 +178,8 @@
     }
 
     /// Loses all messages that are on their way.
-    pub fn lose_mail(&mut self) {
-        self.mail.clear();
+    pub fn drop_messages_in_flight(&mut self) {
+        self.in_flight.clear();
     }
 
     /// Who votes, as the leader knows it.
@@ -190,7 +190,7 @@
 
     /// The machine that certainly leads.
     pub fn leader(&self) -> Option<usize> {
-        self.leading().first().copied()
+        self.lease_holders().first().copied()
     }
 
     /// Suspends a machine. `clock_goes_on` tells whether the clock that its replica reads counts that
@@ -212,7 +212,7 @@
     }
 
     /// The machines that hold themselves for the leader, by their own clocks.
-    pub fn leading(&self) -> Vec<usize> {
+    pub fn lease_holders(&self) -> Vec<usize> {
         let leads = |machine: &usize| {
             let replica = self.machines[*machine].replica.as_ref();
             replica.is_some_and(|replica| replica.leads(self.clock(*machine)))
@@ -222,10 +222,10 @@
 
     pub fn stop(&mut self, machine: usize, down: u64) {
         self.machines[machine].replica = None;
-        self.machines[machine].up_at = self.now + down;
+        self.machines[machine].restart_at = self.now + down;
     }
 
-    pub fn give(&mut self, machine: usize, event: ReplicaEvent) {
+    pub fn send_event(&mut self, machine: usize, event: ReplicaEvent) {
         let now = self.clock(machine);
         let Some(replica) = &mut self.machines[machine].replica else {
             return;
@@ -239,17 +239,17 @@
     fn carry_out(&mut self, machine: usize, effect: ReplicaEffect) {
         match effect {
             ReplicaEffect::SendRaft(to, envelope) => self.post(machine, &to, envelope),
-            ReplicaEffect::PutReply(token, PutReply::Taken) => {
-                if let Some(Question::Put(version)) = self.asked.remove(&token) {
+            ReplicaEffect::PutReply(token, PutReply::Accepted) => {
+                if let Some(PendingRequest::Put(version)) = self.asked.remove(&token) {
                     self.acknowledged = self.acknowledged.max(version);
                 }
             }
-            ReplicaEffect::ReadReply(token, ReadReply::Newest(document)) => {
-                if let Some(Question::Read(known)) = self.asked.remove(&token) {
+            ReplicaEffect::ReadReply(token, ReadReply::Latest(document)) => {
+                if let Some(PendingRequest::Read(known)) = self.asked.remove(&token) {
                     let version = document.as_ref().map_or(0, |document| document.version);
                     assert!(version >= known, "read {version} after {known} was acknowledged");
                     if let Some(document) = document {
-                        assert_eq!(*document.bytes, *content(version).as_bytes());
+                        assert_eq!(*document.bytes, *document_text(version).as_bytes());
                     }
                 }
             }
@@ -266,7 +266,7 @@
         }
         self.sent += 1;
         let arrival = self.now + self.rng.random_range(1..20);
-        self.mail.insert((arrival, self.sent), (to, envelope));
+        self.in_flight.insert((arrival, self.sent), (to, envelope));
     }
 
     fn is_cut(&self, one: usize, other: usize) -> bool {
@@ -276,7 +276,7 @@
     pub fn run_for(&mut self, time: u64) {
         let end = self.now + time;
         while self.now < end {
-            self.now += TICK;
+            self.now += TICK_MS;
             while self.deliver_next() {}
             self.tick_all();
         }
@@ -285,7 +285,7 @@
     /// Lets time pass until `done`, which is looked at after each message.
     pub fn run_until(&mut self, done: impl Fn(&Self) -> bool) {
         while !done(self) {
-            self.now += TICK;
+            self.now += TICK_MS;
             while self.deliver_next() {
                 if done(self) {
                     return;
@@ -298,17 +298,17 @@
     /// Delivers the oldest message that is due, if there is one.
     fn deliver_next(&mut self) -> bool {
         let now = self.now;
-        let Some(entry) = self.mail.first_entry().filter(|entry| entry.key().0 <= now) else {
+        let Some(entry) = self.in_flight.first_entry().filter(|entry| entry.key().0 <= now) else {
             return false;
         };
         let (to, envelope) = entry.remove();
         if self.is_suspended(to) {
             self.sent += 1;
             let wakes_at = self.machines[to].suspended_until;
-            self.mail.insert((wakes_at, self.sent), (to, envelope));
+            self.in_flight.insert((wakes_at, self.sent), (to, envelope));
             return true;
         }
-        self.give(to, ReplicaEvent::Raft(envelope));
+        self.send_event(to, ReplicaEvent::Raft(envelope));
         true
     }
 
@@ -318,18 +318,18 @@
                 continue;
             }
             let down = self.machines[machine].replica.is_none();
-            if down && self.now >= self.machines[machine].up_at {
+            if down && self.now >= self.machines[machine].restart_at {
                 self.start(machine);
             }
             let reachable = self.reachable(machine);
-            self.give(machine, ReplicaEvent::ControlPeers(reachable));
-            self.give(machine, ReplicaEvent::Tick);
+            self.send_event(machine, ReplicaEvent::ControlPeers(reachable));
+            self.send_event(machine, ReplicaEvent::Tick);
         }
-        assert!(self.leaders() <= 1, "two replicas hold a lease at {}", self.now);
+        assert!(self.active_leader_count() <= 1, "two replicas hold a lease at {}", self.now);
     }
 
-    pub fn leaders(&self) -> usize {
-        self.leading().into_iter().filter(|machine| !self.is_suspended(*machine)).count()
+    pub fn active_leader_count(&self) -> usize {
+        self.lease_holders().into_iter().filter(|machine| !self.is_suspended(*machine)).count()
     }
 
     fn reachable(&self, machine: usize) -> BTreeMap<MachineName, ZoneName> {
@@ -343,50 +343,50 @@
     pub fn put(&mut self, machine: usize) {
         let version = self.next_version;
         self.next_version += 1;
-        let token = self.token(Question::Put(version));
-        let bytes = content(version).into_bytes().into();
-        self.give(machine, ReplicaEvent::Put { token, bytes });
+        let token = self.token(PendingRequest::Put(version));
+        let bytes = document_text(version).into_bytes().into();
+        self.send_event(machine, ReplicaEvent::Put { token, bytes });
     }
 
     pub fn read(&mut self, machine: usize) {
-        let token = self.token(Question::Read(self.acknowledged));
-        self.give(machine, ReplicaEvent::Read { token });
+        let token = self.token(PendingRequest::Read(self.acknowledged));
+        self.send_event(machine, ReplicaEvent::Read { token });
     }
 
-    pub fn token(&mut self, question: Question) -> u64 {
+    pub fn token(&mut self, question: PendingRequest) -> u64 {
         self.next_token += 1;
         self.asked.insert(self.next_token, question);
         self.next_token
     }
 
-    pub fn strike(&mut self) {
+    pub fn inject_fault(&mut self) {
         let machine = self.rng.random_range(0..self.machines.len());
         let which = self.rng.random_range(0..9);
         match which {
             0 => self.stop(machine, 500),
             1 => {
-                self.machines[machine].disk.lose_power(self.rng.random_range(0..200));
+                self.machines[machine].disk.simulate_power_loss(self.rng.random_range(0..200));
                 self.stop(machine, 1_500);
             }
             2 => self.all_lose_power(),
-            3 => self.wipe(machine),
-            4 => self.cut_off(machine),
+            3 => self.wipe_disk_if_safe(machine),
+            4 => self.isolate(machine),
             5 => self.split(),
             6 => self.cut.clear(),
-            7 => self.machines[machine].disk.limit(Some(2_000)),
-            _ => self.machines.iter().for_each(|machine| machine.disk.limit(None)),
+            7 => self.machines[machine].disk.set_capacity(Some(2_000)),
+            _ => self.machines.iter().for_each(|machine| machine.disk.set_capacity(None)),
         }
     }
 
     pub fn all_lose_power(&mut self) {
         for machine in 0..self.machines.len() {
-            self.machines[machine].disk.lose_power(self.rng.random_range(0..200));
+            self.machines[machine].disk.simulate_power_loss(self.rng.random_range(0..200));
             self.stop(machine, 600);
         }
     }
 
     /// A disk is lost only while every voter counts: one loss is borne at once.
-    pub fn wipe(&mut self, machine: usize) {
+    pub fn wipe_disk_if_safe(&mut self, machine: usize) {
         let voters: BTreeSet<Vec<(MachineName, u64)>> = self
             .machines
             .iter()
@@ -413,7 +413,7 @@
         })
     }
 
-    pub fn cut_off(&mut self, machine: usize) {
+    pub fn isolate(&mut self, machine: usize) {
         for other in (0..self.machines.len()).filter(|other| *other != machine) {
             self.cut.insert((machine.min(other), machine.max(other)));
         }
@@ -431,10 +431,10 @@
 
     pub fn heal(&mut self) {
         self.cut.clear();
-        self.machines.iter().for_each(|machine| machine.disk.limit(None));
+        self.machines.iter().for_each(|machine| machine.disk.set_capacity(None));
     }
 
-    pub fn newest_read(&mut self) -> bool {
+    pub fn any_read_answered(&mut self) -> bool {
         self.asked.clear();
         for machine in 0..self.machines.len() {
             self.read(machine);
@@ -445,6 +445,6 @@
     }
 }
 
-pub fn content(version: u64) -> String {
+pub fn document_text(version: u64) -> String {
     format!("{version}:{}", "x".repeat((version % 90) as usize))
 }
--- a/crates/gateway-core/src/account_owners.rs
+++ b/crates/gateway-core/src/account_owners.rs
@@ -8,8 +8,8 @@
 //! allotted to it, so nothing but the number of accounts depends on it.
 
 use crate::hashing::mix;
-use crate::router_lists::RouterSite;
-use crate::slot_shares::hash_of;
+use crate::router_lists::RouterEndpoint;
+use crate::slot_shares::router_hash;
 use stackpost_types::{Digest, Millis, TenantName, Timestamp, ZoneName};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -29,18 +29,19 @@
 /// One router's view of the owners.
 #[derive(Clone, Debug, Default)]
 pub struct AccountOwners {
-    own: Option<RouterSite>,
+    own: Option<RouterEndpoint>,
     zones: BTreeMap<ZoneName, Vec<Candidate>>,
     passed_over_until: HashMap<SocketAddr, Timestamp>,
 }
 
 impl AccountOwners {
     /// Takes over which routers there are; `own` is one of them, listed or not.
-    pub fn set_sites(&mut self, own: &RouterSite, sites: &BTreeSet<RouterSite>) {
+    pub fn set_endpoints(&mut self, own: &RouterEndpoint, endpoints: &BTreeSet<RouterEndpoint>) {
         self.own = Some(own.clone());
         self.zones.clear();
-        for site in sites.iter().chain([own].into_iter().filter(|own| !sites.contains(own))) {
-            let candidate = Candidate { address: site.address, hash: hash_of(site.address) };
+        for site in endpoints.iter().chain([own].into_iter().filter(|own| !endpoints.contains(own)))
+        {
+            let candidate = Candidate { address: site.address, hash: router_hash(site.address) };
             self.zones.entry(site.zone.clone()).or_default().push(candidate);
         }
     }
@@ -68,7 +69,7 @@
 
     /// Owners of `tenant` in the other zones, beginning with the zone after the own one, so that not all routers ask the
     /// same one first.
-    pub fn lenders_elsewhere(&self, now: Timestamp, tenant: &TenantName) -> Vec<SocketAddr> {
+    pub fn lenders_in_other_zones(&self, now: Timestamp, tenant: &TenantName) -> Vec<SocketAddr> {
         let Some(own) = &self.own else {
             return Vec::new();
         };
--- a/crates/gateway-core/src/hold_off.rs
+++ b/crates/gateway-core/src/backoff.rs
@@ -25,27 +25,32 @@
 
 /// What the engines of one router have asked for.
 #[derive(Clone, Debug, Default)]
-pub struct HoldOff {
+pub struct BackoffTracker {
     rests: HashMap<BackEndName, Rest>,
     leaving: HashSet<BackEndName>,
 }
 
 /// What a wish for rest changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct RestChange {
+pub struct BackoffChange {
     /// Whether the engine was not resting before.
     pub begins: bool,
     /// By how much the rest ends later than was known.
     pub added: Millis,
 }
 
-impl HoldOff {
+impl BackoffTracker {
     /// An engine wants no request for `rest` from now on. Where wishes overlap, the later end counts.
-    pub fn on_rest(&mut self, now: Timestamp, engine: &BackEndName, rest: Millis) -> RestChange {
+    pub fn on_backoff(
+        &mut self,
+        now: Timestamp,
+        engine: &BackEndName,
+        rest: Millis,
+    ) -> BackoffChange {
         let known = self.rests.get(engine).map_or(now, |known| known.until.max(now));
         let until = known.max(now + rest);
         self.rests.insert(engine.clone(), Rest { until, tried_at: None });
-        RestChange { begins: known == now && until > now, added: until.since(known) }
+        BackoffChange { begins: known == now && until > now, added: until.since(known) }
     }
 
     /// An engine says that it leaves. Returns whether that is news.
@@ -62,19 +67,19 @@
 
     /// An engine has taken a request that was sent to it at `sent_at`. What was sent before its rest says nothing
     /// of the time after it.
-    pub fn on_taken(&mut self, engine: &BackEndName, sent_at: Timestamp) {
+    pub fn on_accepted(&mut self, engine: &BackEndName, sent_at: Timestamp) {
         if self.rests.get(engine).is_some_and(|rest| sent_at >= rest.until) {
             self.rests.remove(engine);
         }
     }
 
     /// Whether an engine rests.
-    pub fn is_resting(&self, now: Timestamp, engine: &BackEndName) -> bool {
+    pub fn is_backing_off(&self, now: Timestamp, engine: &BackEndName) -> bool {
         self.rests.get(engine).is_some_and(|rest| rest.until > now)
     }
 
     /// Whether an engine has asked for rest and taken no request since.
-    pub fn is_on_trial(&self, engine: &BackEndName) -> bool {
+    pub fn is_probing(&self, engine: &BackEndName) -> bool {
         self.rests.contains_key(engine)
     }
 
@@ -84,7 +89,7 @@
     }
 
     /// When an engine may be asked; `now` or earlier if it may be now. One that leaves never may.
-    pub fn open_from(&self, engine: &BackEndName) -> Option<Timestamp> {
+    pub fn available_from(&self, engine: &BackEndName) -> Option<Timestamp> {
         if self.is_leaving(engine) {
             return None;
         }
@@ -96,8 +101,8 @@
     }
 
     /// Whether an engine may be asked now.
-    pub fn is_open(&self, now: Timestamp, engine: &BackEndName) -> bool {
-        self.open_from(engine).is_some_and(|from| from <= now)
+    pub fn is_available(&self, now: Timestamp, engine: &BackEndName) -> bool {
+        self.available_from(engine).is_some_and(|from| from <= now)
     }
 
     /// Engines that rest.
--- a/crates/gateway-core/src/config.rs
+++ b/crates/gateway-core/src/config.rs
@@ -8,9 +8,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteKind {
     /// May run more than once.
-    Repeatable,
+    Idempotent,
     /// Runs at most once.
-    OnlyOnce,
+    NonIdempotent,
     /// Answers with a series of events.
     Streaming {
         /// Whether the stream may be taken up at another engine after its last event.
@@ -20,8 +20,8 @@
 
 impl RouteKind {
     /// Whether a request that may have run may be sent again.
-    pub fn may_repeat(self) -> bool {
-        matches!(self, Self::Repeatable | Self::Streaming { resumable: true })
+    pub fn may_retry(self) -> bool {
+        matches!(self, Self::Idempotent | Self::Streaming { resumable: true })
     }
 
     /// Whether the answer is a series of events.
@@ -145,7 +145,7 @@
     },
     /// Two routes answer for the same place.
     #[error("two routes share host `{host}` and prefix `{path_prefix}`")]
-    SamePlace {
+    DuplicateRoute {
         /// The host.
         host: String,
         /// The prefix.
@@ -153,10 +153,10 @@
     },
     /// A route's weights add up to nothing.
     #[error("the weights of route `{0}` add up to 0")]
-    NoWeight(RouteName),
+    ZeroWeight(RouteName),
     /// A route has no time.
     #[error("route `{0}` has a timeout of 0")]
-    NoTimeout(RouteName),
+    ZeroTimeout(RouteName),
     /// Two tenants have the same key.
     #[error("tenants `{first}` and `{second}` share a key")]
     SharedKey {
@@ -174,7 +174,7 @@
         for route in &self.routes {
             self.validate_route(route)?;
             if !places.insert((route.host.as_str(), route.path_prefix.as_str())) {
-                return Err(ConfigError::SamePlace {
+                return Err(ConfigError::DuplicateRoute {
                     host: route.host.clone(),
                     path_prefix: route.path_prefix.clone(),
                 });
@@ -197,10 +197,10 @@
             }
         }
         if route.split.iter().map(|part| part.weight).sum::<u64>() == 0 {
-            return Err(ConfigError::NoWeight(route.name.clone()));
+            return Err(ConfigError::ZeroWeight(route.name.clone()));
         }
         if route.timeout.0 == 0 {
-            return Err(ConfigError::NoTimeout(route.name.clone()));
+            return Err(ConfigError::ZeroTimeout(route.name.clone()));
         }
         Ok(())
     }
