--- a/crates/gateway-core/src/crash_memory.rs
+++ b/crates/gateway-core/src/crash_tracker.rs
@@ -14,7 +14,9 @@
 //! it, and the leader is told: while it was refused, nothing could show its innocence any more.
 
 use crate::fingerprint::RequestFingerprint;
-use crate::quarantine::{CrashSighting, ENGINES_LOST, FIRST_QUARANTINE, QuarantineNotice};
+use crate::quarantine::{
+    CRASHES_TO_QUARANTINE, CrashSighting, INITIAL_QUARANTINE, QuarantineNotice,
+};
 use serde::{Deserialize, Serialize};
 use stackpost_types::{BackEndName, Millis, Timestamp};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -65,7 +67,7 @@
 
 /// One router's knowledge.
 #[derive(Clone, Debug, Default)]
-pub struct CrashMemory {
+pub struct CrashTracker {
     notice: QuarantineNotice,
     /// Requests that are let in no more by the word of control, with when this router heard so first.
     quarantined: BTreeMap<RequestFingerprint, Timestamp>,
@@ -76,14 +78,14 @@
     ended_well: VecDeque<(Timestamp, RequestFingerprint)>,
 }
 
-impl CrashMemory {
+impl CrashTracker {
     /// Whether any request could be quarantined. If not, none needs its fingerprint taken.
-    pub fn quarantines_any(&self) -> bool {
-        !self.notice.quarantined.is_empty() || self.own.len() >= ENGINES_LOST
+    pub fn has_quarantine_candidates(&self) -> bool {
+        !self.notice.quarantined.is_empty() || self.own.len() >= CRASHES_TO_QUARANTINE
     }
 
     /// Whether any request is under suspicion. If not, none needs to be cleared.
-    pub fn suspects_any(&self) -> bool {
+    pub fn has_suspects(&self) -> bool {
         let notice = &self.notice;
         let told = !(notice.quarantined.is_empty() && notice.suspected.is_empty());
         told || !self.own.is_empty() || !self.doubtful.is_empty()
@@ -96,11 +98,11 @@
         request: &RequestFingerprint,
         in_touch: bool,
     ) -> bool {
-        self.quarantine_left(now, request, in_touch).is_some()
+        self.quarantine_remaining(now, request, in_touch).is_some()
     }
 
     /// After how long another try of a request that is let in no more makes sense; `None` if it is let in.
-    pub fn quarantine_left(
+    pub fn quarantine_remaining(
         &mut self,
         now: Timestamp,
         request: &RequestFingerprint,
@@ -117,7 +119,7 @@
         if lasted < TAKEN_BACK_WITHIN {
             return Some(TAKEN_BACK_WITHIN);
         }
-        Some(Millis(FIRST_QUARANTINE.0.saturating_sub(lasted.0)).max(TAKEN_BACK_WITHIN))
+        Some(Millis(INITIAL_QUARANTINE.0.saturating_sub(lasted.0)).max(TAKEN_BACK_WITHIN))
     }
 
     /// The same by this router's own sightings.
@@ -132,13 +134,13 @@
         let newest: BTreeMap<_, _> = of_request.map(|own| (&own.sighting.engine, own.at)).collect();
         let mut times: Vec<Timestamp> = newest.into_values().collect();
         times.sort_unstable();
-        let deciding = times.iter().rev().nth(ENGINES_LOST - 1)?;
+        let deciding = times.iter().rev().nth(CRASHES_TO_QUARANTINE - 1)?;
         let left = counts_for.0.checked_sub(now.since(*deciding).0)?;
         (left > 0).then_some(Millis(left))
     }
 
     /// A connection ended while an engine ran a request.
-    pub fn on_engine_ended(&mut self, now: Timestamp, sighting: CrashSighting) {
+    pub fn on_engine_crash(&mut self, now: Timestamp, sighting: CrashSighting) {
         self.forget_old(now);
         if self.ended_well_lately(now, &sighting.request) {
             return;
@@ -157,7 +159,7 @@
     }
 
     /// Another router that can't reach the leader has seen engines end so long ago. Whoever saw it tells the leader.
-    pub fn on_told_by_router(&mut self, now: Timestamp, seen: Vec<(CrashSighting, Millis)>) {
+    pub fn on_peer_sightings(&mut self, now: Timestamp, seen: Vec<(CrashSighting, Millis)>) {
         self.forget_old(now);
         for (sighting, age) in seen {
             let is_known = self.own.iter().any(|own| own.sighting == sighting);
@@ -179,7 +181,7 @@
     }
 
     /// What other routers have not been told while the leader can't be reached. Counts as told.
-    pub fn take_news_for_routers(&mut self, now: Timestamp) -> Vec<(CrashSighting, Millis)> {
+    pub fn take_peer_sightings(&mut self, now: Timestamp) -> Vec<(CrashSighting, Millis)> {
         let mut news = Vec::new();
         for own in self.own.iter_mut().filter(|own| !own.told_routers) {
             own.told_routers = true;
@@ -192,7 +194,7 @@
     }
 
     /// A connection broke while an engine ran a request, and the engine still takes connections.
-    pub fn on_broken_at_living(&mut self, now: Timestamp, sighting: CrashSighting) {
+    pub fn on_unconfirmed_crash(&mut self, now: Timestamp, sighting: CrashSighting) {
         self.forget_old(now);
         if self.doubtful.len() >= MOST_SIGHTINGS {
             self.doubtful.pop_front();
@@ -201,21 +203,21 @@
     }
 
     /// A life of an engine has begun, so those before it have ended. Returns whether that ended one under a request.
-    pub fn on_life_begun(&mut self, now: Timestamp, engine: &BackEndName) -> bool {
+    pub fn on_incarnation_started(&mut self, now: Timestamp, engine: &BackEndName) -> bool {
         self.forget_old(now);
         let is_former = |(_, seen): &(Timestamp, CrashSighting)| {
-            seen.engine.id() == engine.id() && seen.engine.born() < engine.born()
+            seen.engine.id() == engine.id() && seen.engine.started_at_ms() < engine.started_at_ms()
         };
         let doubtful = std::mem::take(&mut self.doubtful);
         let (ended, left): (VecDeque<_>, VecDeque<_>) = doubtful.into_iter().partition(is_former);
         self.doubtful = left;
         let is_news = !ended.is_empty();
-        ended.into_iter().for_each(|(_, sighting)| self.on_engine_ended(now, sighting));
+        ended.into_iter().for_each(|(_, sighting)| self.on_engine_crash(now, sighting));
         is_news
     }
 
     /// A request has ended well, so it does not end engines.
-    pub fn on_ended_well(&mut self, now: Timestamp, request: &RequestFingerprint) {
+    pub fn on_request_succeeded(&mut self, now: Timestamp, request: &RequestFingerprint) {
         self.ended_well.retain(|(_, ended)| ended != request);
         if self.ended_well.len() >= MOST_ENDED_WELL {
             self.ended_well.pop_front();
@@ -224,7 +226,7 @@
         self.doubtful.retain(|(_, seen)| seen.request != *request);
         let before = self.own.len();
         self.own.retain(|own| own.sighting.request != *request);
-        if before > self.own.len() || self.notice.names(request) {
+        if before > self.own.len() || self.notice.includes(request) {
             self.cleared.insert(*request);
         }
     }
@@ -241,7 +243,7 @@
         let named = self.notice.quarantined.iter();
         self.quarantined = named.map(|request| (*request, since(request))).collect();
         let named = |request: &&RequestFingerprint| {
-            self.notice.names(request) && self.ended_well_lately(now, request)
+            self.notice.includes(request) && self.ended_well_lately(now, request)
         };
         let ended_well = self.ended_well.iter().map(|(_, request)| request);
         let innocent: Vec<RequestFingerprint> = ended_well.filter(named).copied().collect();
@@ -276,7 +278,7 @@
     }
 
     /// A report may be lost with a queue that was full. What is still new is told once more.
-    pub fn tell_again(&mut self, now: Timestamp) {
+    pub fn resend_recent(&mut self, now: Timestamp) {
         let is_new = |own: &&mut OwnSighting| now.since(own.at) < TOLD_AGAIN_FOR;
         let seen_here = self.own.iter_mut().filter(|own| own.seen_here);
         seen_here.filter(is_new).for_each(|own| own.told = false);
--- a/crates/gateway-core/src/departures.rs
+++ b/crates/gateway-core/src/departures.rs
@@ -4,7 +4,7 @@
 //! and every process that comes later must hear of it.
 //!
 //! Invariants: a life of an engine that has left stays gone; otherwise the word with the higher count holds. A change
-//! raises the revision by one, so equal revisions mean equal words. At most [`MAX_WORDS`] words are kept. Without I/O
+//! raises the revision by one, so equal revisions mean equal words. At most [`MAX_DEPARTURES`] words are kept. Without I/O
 //! and clock, so that replicas that take in the same changes in the same order hold the same state.
 
 use crate::engine_notice::EngineState;
@@ -13,14 +13,14 @@
 use std::collections::BTreeMap;
 
 /// Words kept; the oldest go first. Several times the engines of a large fleet; with names about 400 KB.
-pub const MAX_WORDS: usize = 4_096;
+pub const MAX_DEPARTURES: usize = 4_096;
 
 /// How long a process that follows keeps words that it is told of no more: longer than the replicas do.
 const FOLLOWED_TIME: Millis = Millis(360_000);
 
 /// What an engine says of its end.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct DepartureWord {
+pub struct DepartureRecord {
     /// The engine: one life of it.
     pub engine: BackEndName,
     /// `Draining` or `Gone`; `Ready` if it takes work again after it had said `Draining`.
@@ -29,7 +29,7 @@
     pub sequence: u64,
 }
 
-impl DepartureWord {
+impl DepartureRecord {
     /// Whether this word changes anything where `held` holds.
     fn is_newer_than(&self, held: &Self) -> bool {
         match (held.state, self.state) {
@@ -44,14 +44,14 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DepartureChange {
     /// Engines have said something of their end.
-    Said(Vec<DepartureWord>),
+    Announced(Vec<DepartureRecord>),
     /// These engines left long ago.
-    Forgotten(Vec<BackEndName>),
+    Expired(Vec<BackEndName>),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct HeldWord {
-    word: DepartureWord,
+    word: DepartureRecord,
     /// The revision that brought it.
     revision: u64,
 }
@@ -59,19 +59,19 @@
 /// The words that hold.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Departures {
-    words: BTreeMap<BackEndName, HeldWord>,
+    records: BTreeMap<BackEndName, HeldWord>,
     revision: u64,
 }
 
 /// Changes of [`Departures`], for a process that follows.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct DepartureNews {
+pub struct DepartureDelta {
     /// The revision after which the changes begin.
     pub base: u64,
     /// The revision up to which they go.
     pub revision: u64,
     /// The words that hold since.
-    pub words: Vec<DepartureWord>,
+    pub records: Vec<DepartureRecord>,
 }
 
 impl Departures {
@@ -81,8 +81,8 @@
     }
 
     /// Whether a word would change anything.
-    pub fn is_news(&self, word: &DepartureWord) -> bool {
-        match self.words.get(&word.engine) {
+    pub fn would_change(&self, word: &DepartureRecord) -> bool {
+        match self.records.get(&word.engine) {
             Some(held) => word.is_newer_than(&held.word),
             // An engine of which nothing is held takes work.
             None => word.state != EngineState::Ready,
@@ -90,16 +90,18 @@
     }
 
     /// Whether a word holds, or a newer one of the same engine.
-    pub fn covers(&self, word: &DepartureWord) -> bool {
-        self.words.contains_key(&word.engine) && !self.is_news(word)
+    pub fn covers(&self, word: &DepartureRecord) -> bool {
+        self.records.contains_key(&word.engine) && !self.would_change(word)
     }
 
     /// Takes in a change. Returns whether anything is different.
     pub fn apply(&mut self, change: DepartureChange) -> bool {
         let before = self.revision;
         match change {
-            DepartureChange::Said(words) => words.into_iter().for_each(|word| self.say(word)),
-            DepartureChange::Forgotten(engines) => {
+            DepartureChange::Announced(records) => {
+                records.into_iter().for_each(|word| self.say(word))
+            }
+            DepartureChange::Expired(engines) => {
                 engines.iter().for_each(|engine| self.forget(engine));
             }
         }
@@ -108,44 +110,44 @@
 
     /// What has changed after revision `base`. Words that were forgotten are not told: whoever follows forgets by its
     /// own clock.
-    pub fn since(&self, base: u64) -> DepartureNews {
-        let newer = self.words.values().filter(|held| held.revision > base);
-        let words = newer.map(|held| held.word.clone()).collect();
-        DepartureNews { base, revision: self.revision, words }
+    pub fn since(&self, base: u64) -> DepartureDelta {
+        let newer = self.records.values().filter(|held| held.revision > base);
+        let records = newer.map(|held| held.word.clone()).collect();
+        DepartureDelta { base, revision: self.revision, records }
     }
 
     /// The word that holds for an engine.
-    pub fn get(&self, engine: &BackEndName) -> Option<&DepartureWord> {
-        self.words.get(engine).map(|held| &held.word)
+    pub fn get(&self, engine: &BackEndName) -> Option<&DepartureRecord> {
+        self.records.get(engine).map(|held| &held.word)
     }
 
     /// The engines with a word, and the revision that brought it.
     pub fn revisions(&self) -> impl Iterator<Item = (&BackEndName, u64)> {
-        self.words.iter().map(|(engine, held)| (engine, held.revision))
+        self.records.iter().map(|(engine, held)| (engine, held.revision))
     }
 
-    fn say(&mut self, word: DepartureWord) {
-        if !self.is_news(&word) {
+    fn say(&mut self, word: DepartureRecord) {
+        if !self.would_change(&word) {
             return;
         }
-        if !self.words.contains_key(&word.engine) && self.words.len() >= MAX_WORDS {
+        if !self.records.contains_key(&word.engine) && self.records.len() >= MAX_DEPARTURES {
             self.forget_oldest();
         }
         self.revision += 1;
         let held = HeldWord { revision: self.revision, word };
-        self.words.insert(held.word.engine.clone(), held);
+        self.records.insert(held.word.engine.clone(), held);
     }
 
     fn forget(&mut self, engine: &BackEndName) {
-        if self.words.remove(engine).is_some() {
+        if self.records.remove(engine).is_some() {
             self.revision += 1;
         }
     }
 
     fn forget_oldest(&mut self) {
-        let oldest = self.words.values().min_by_key(|held| held.revision);
+        let oldest = self.records.values().min_by_key(|held| held.revision);
         if let Some(engine) = oldest.map(|held| held.word.engine.clone()) {
-            self.words.remove(&engine);
+            self.records.remove(&engine);
         }
     }
 }
@@ -153,7 +155,7 @@
 /// The words that a process knows which follows what is written down, and how far it is.
 #[derive(Clone, Debug, Default)]
 pub struct KnownDepartures {
-    words: BTreeMap<BackEndName, (DepartureWord, Timestamp)>,
+    records: BTreeMap<BackEndName, (DepartureRecord, Timestamp)>,
     revision: u64,
 }
 
@@ -164,10 +166,10 @@
     }
 
     /// Takes in changes. What does not build on what is known counts, but leaves a gap that is to be told again.
-    pub fn take_in(&mut self, now: Timestamp, news: &DepartureNews) {
-        for word in &news.words {
-            if self.is_news(word) {
-                self.words.insert(word.engine.clone(), (word.clone(), now));
+    pub fn merge_delta(&mut self, now: Timestamp, news: &DepartureDelta) {
+        for word in &news.records {
+            if self.would_change(word) {
+                self.records.insert(word.engine.clone(), (word.clone(), now));
             }
         }
         if news.base <= self.revision {
@@ -176,20 +178,20 @@
     }
 
     /// Whether a word would change anything.
-    pub fn is_news(&self, word: &DepartureWord) -> bool {
-        match self.words.get(&word.engine) {
+    pub fn would_change(&self, word: &DepartureRecord) -> bool {
+        match self.records.get(&word.engine) {
             Some((held, _)) => word.is_newer_than(held),
             None => word.state != EngineState::Ready,
         }
     }
 
     /// Whether a word is written down, or a newer one of the same engine.
-    pub fn covers(&self, word: &DepartureWord) -> bool {
-        self.words.contains_key(&word.engine) && !self.is_news(word)
+    pub fn covers(&self, word: &DepartureRecord) -> bool {
+        self.records.contains_key(&word.engine) && !self.would_change(word)
     }
 
     /// Forgets words of long ago.
     pub fn forget_old(&mut self, now: Timestamp) {
-        self.words.retain(|_, (_, since)| now.since(*since) < FOLLOWED_TIME);
+        self.records.retain(|_, (_, since)| now.since(*since) < FOLLOWED_TIME);
     }
 }
--- a/crates/gateway-core/src/directory.rs
+++ b/crates/gateway-core/src/directory.rs
@@ -15,8 +15,8 @@
 //! may be heard of last, since announcements can be held up by a cut. A name that was not known yet takes
 //! the address over; the other one gets it back by being announced on while the first is not.
 
-use crate::departures::DepartureWord;
-use crate::engine_notice::{DirectoryNews, EngineNotice, EngineState, Merge};
+use crate::departures::DepartureRecord;
+use crate::engine_notice::{DirectoryDelta, EngineNotice, EngineState, MergeOutcome};
 use stackpost_types::{BackEndName, Millis, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -106,35 +106,35 @@
 
 impl EngineDirectory {
     /// For a process that is told of changes only, after they have been decided elsewhere.
-    pub fn following() -> Self {
+    pub fn follower() -> Self {
         Self { announcements_to_return: 1, ..Self::default() }
     }
 
     /// Takes in a notice.
-    pub fn merge(&mut self, now: Timestamp, notice: EngineNotice) -> Merge {
+    pub fn merge(&mut self, now: Timestamp, notice: EngineNotice) -> MergeOutcome {
         let announced_at = Timestamp(now.0.saturating_sub(notice.age.0));
         if notice.state != EngineState::Gone && self.has_newer_life(&notice.engine) {
-            return Merge::Old;
+            return MergeOutcome::Stale;
         }
         let change = match self.engines.get(&notice.engine) {
-            None => Merge::Changed,
-            Some(known) if known.has_left() => return Merge::Old,
+            None => MergeOutcome::Changed,
+            Some(known) if known.has_left() => return MergeOutcome::Stale,
             Some(known)
                 if notice.state != EngineState::Gone
                     && notice.sequence <= known.notice.sequence =>
             {
-                return Merge::Old;
+                return MergeOutcome::Stale;
             }
             Some(known) if known.replaced.is_some() && notice.state != EngineState::Gone => {
                 if !self.returns(&notice, announced_at) {
-                    return Merge::Old;
+                    return MergeOutcome::Stale;
                 }
-                Merge::Changed
+                MergeOutcome::Changed
             }
-            Some(known) if known.notice.state == notice.state => Merge::Refreshed,
-            Some(_) => Merge::Changed,
+            Some(known) if known.notice.state == notice.state => MergeOutcome::Refreshed,
+            Some(_) => MergeOutcome::Changed,
         };
-        if change == Merge::Changed {
+        if change == MergeOutcome::Changed {
             self.replace_at_address(now, &notice);
             self.end_former_lives(now, &notice.engine);
         }
@@ -147,14 +147,14 @@
         now: Timestamp,
         notice: EngineNotice,
         announced_at: Timestamp,
-        change: Merge,
+        change: MergeOutcome,
     ) {
-        self.revision += u64::from(change == Merge::Changed);
+        self.revision += u64::from(change == MergeOutcome::Changed);
         let known = self.engines.get(&notice.engine);
         let told_since = Timestamp(now.0.saturating_sub(notice.known_for.0));
         let known_since = known.map_or(told_since, |known| known.known_since.min(told_since));
         let announced_before = known.map_or(Timestamp(0), |known| known.announced_at);
-        let unchanged = known.filter(|_| change != Merge::Changed);
+        let unchanged = known.filter(|_| change != MergeOutcome::Changed);
         let revision = unchanged.map_or(self.revision, |known| known.revision);
         let replaced = None;
         let record = EngineRecord {
@@ -177,19 +177,19 @@
     }
 
     fn has_newer_life(&self, engine: &BackEndName) -> bool {
-        let born = engine.born();
-        self.lives(engine.id()).any(|record| record.notice.engine.born() > born)
+        let started_at_ms = engine.started_at_ms();
+        self.lives(engine.id()).any(|record| record.notice.engine.started_at_ms() > started_at_ms)
     }
 
     fn end_former_lives(&mut self, now: Timestamp, engine: &BackEndName) {
         let former: Vec<BackEndName> = self
             .lives(engine.id())
             .map(|record| &record.notice.engine)
-            .filter(|life| life.born() < engine.born())
+            .filter(|life| life.started_at_ms() < engine.started_at_ms())
             .cloned()
             .collect();
         for life in former {
-            self.leave(now, &life);
+            self.mark_gone(now, &life);
         }
     }
 
@@ -222,33 +222,33 @@
 
     /// Which life of an engine is meant by a leave that does not say so: the newest, unless that is so new
     /// that a leave of the one before may still be on its way.
-    pub fn life_that_leaves(&self, now: Timestamp, id: &str) -> BackEndName {
+    pub fn departing_incarnation(&self, now: Timestamp, id: &str) -> BackEndName {
         let mut lives: Vec<&EngineRecord> = self.lives(id).collect();
-        lives.sort_by_key(|record| std::cmp::Reverse(record.notice.engine.born()));
+        lives.sort_by_key(|record| std::cmp::Reverse(record.notice.engine.started_at_ms()));
         let meant = match lives.as_slice() {
             [newest, former, ..] if now.since(newest.known_since) < LEAVE_ON_ITS_WAY => former,
             [newest, ..] => newest,
-            [] => return BackEndName::of_life(id, None),
+            [] => return BackEndName::of_incarnation(id, None),
         };
         meant.notice.engine.clone()
     }
 
     /// Notes that an engine has left and returns the notice to pass on. An engine that is not known
     /// here may be known elsewhere, so it is remembered as well.
-    pub fn leave(&mut self, now: Timestamp, engine: &BackEndName) -> EngineNotice {
+    pub fn mark_gone(&mut self, now: Timestamp, engine: &BackEndName) -> EngineNotice {
         let known = self.engines.get(engine);
         let is_known = known.is_some_and(EngineRecord::has_left);
         let mut notice =
             known.map_or_else(|| EngineNotice::name_only(engine), |known| known.notice.clone());
         notice.state = EngineState::Gone;
         notice.age = Millis(0);
-        let change = if is_known { Merge::Refreshed } else { Merge::Changed };
+        let change = if is_known { MergeOutcome::Refreshed } else { MergeOutcome::Changed };
         self.insert(now, notice.clone(), now, change);
         notice
     }
 
     /// Takes in what the control replicas have written down of an engine's end. Returns whether its state is another one now.
-    pub fn depart(&mut self, now: Timestamp, word: &DepartureWord) -> bool {
+    pub fn apply_departure(&mut self, now: Timestamp, word: &DepartureRecord) -> bool {
         let Some(known) = self.engines.get_mut(&word.engine) else {
             return self.depart_unknown(now, word);
         };
@@ -271,13 +271,13 @@
         has_changed
     }
 
-    fn depart_unknown(&mut self, now: Timestamp, word: &DepartureWord) -> bool {
+    fn depart_unknown(&mut self, now: Timestamp, word: &DepartureRecord) -> bool {
         if word.state == EngineState::Ready {
             return false;
         }
         let (state, sequence) = (word.state, word.sequence);
         let notice = EngineNotice { state, sequence, ..EngineNotice::name_only(&word.engine) };
-        self.insert(now, notice, now, Merge::Changed);
+        self.insert(now, notice, now, MergeOutcome::Changed);
         true
     }
 
@@ -309,7 +309,7 @@
     }
 
     /// Whether an engine says that it takes work.
-    pub fn takes_work(&self, engine: &BackEndName) -> bool {
+    pub fn accepts_requests(&self, engine: &BackEndName) -> bool {
         self.get(engine).is_some_and(|record| record.notice.state == EngineState::Ready)
     }
 
@@ -335,14 +335,14 @@
     }
 
     /// The same of the engines that have changed after revision `base`.
-    pub fn changes_since(&self, now: Timestamp, base: u64) -> DirectoryNews {
+    pub fn changes_since(&self, now: Timestamp, base: u64) -> DirectoryDelta {
         let is_notice = |record: &&EngineRecord| {
             let is_whole = !record.is_name_only() || record.notice.state == EngineState::Gone;
             record.revision > base && record.replaced.is_none() && is_whole
         };
         let records = self.engines.values().filter(is_notice);
         let notices = records.map(|record| record.to_notice(now)).collect();
-        DirectoryNews { base, revision: self.revision, notices }
+        DirectoryDelta { base, revision: self.revision, notices }
     }
 
     /// Engines that should be announcing themselves and have not of late.
@@ -366,7 +366,7 @@
 
     /// Forgets engines that have been silent for so long that they are taken for gone, and returns them. One that was only
     /// out of sight is new when it is announced again.
-    pub fn give_up(&mut self, now: Timestamp) -> Vec<BackEndName> {
+    pub fn evict_silent(&mut self, now: Timestamp) -> Vec<BackEndName> {
         let is_given_up = |record: &&EngineRecord| {
             record.notice.state != EngineState::Gone
                 && now.since(record.announced_at) >= GIVE_UP_AFTER
--- a/crates/gateway-core/src/engine_health.rs
+++ b/crates/gateway-core/src/engine_health.rs
@@ -23,7 +23,7 @@
     /// Requests of this router that are there.
     pub in_flight: u64,
     /// When it last turned one away.
-    pub turned_away_at: Option<Timestamp>,
+    pub rejected_at: Option<Timestamp>,
     failure_permille: u32,
     ejections: u32,
     /// Until when it is avoided.
@@ -50,7 +50,7 @@
     }
 
     /// Notes the end of a request that says something of the engine.
-    pub fn note(&mut self, now: Timestamp, failed: bool) {
+    pub fn record_outcome(&mut self, now: Timestamp, failed: bool) {
         let newest = if failed { 1_000 } else { 0 };
         let kept = self.failure_permille * (1_000 - FAILURE_WEIGHT);
         self.failure_permille = (kept + newest * FAILURE_WEIGHT) / 1_000;
--- a/crates/gateway-core/src/engine_load.rs
+++ b/crates/gateway-core/src/engine_load.rs
@@ -6,7 +6,7 @@
 //! requests and hears of those of other routers; what is read goes down with time, at the speed
 //! that the engine has shown.
 
-use crate::placement::Harm;
+use crate::placement::PlacementCost;
 use serde::{Deserialize, Serialize};
 use stackpost_types::{Millis, Timestamp, Tokens};
 use std::collections::HashMap;
@@ -43,7 +43,7 @@
 
 /// What a generation asks of an engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Work {
+pub struct GenerationWork {
     /// Tokens of the prompt's parts that other requests share.
     pub shared: Tokens,
     /// Tokens of the prompt's last part, which is its own.
@@ -54,7 +54,7 @@
     pub gap_objective: Millis,
 }
 
-impl Work {
+impl GenerationWork {
     /// How much the request counts beside others. It grows with the tokens, but more slowly: ten
     /// short answers are worth more than one that costs as much.
     pub fn weight(&self) -> f64 {
@@ -65,15 +65,15 @@
 
 /// What one router says of its requests at one engine.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct EngineNews {
+pub struct EngineLoadUpdate {
     /// Weight of its streams that run there.
     pub running: f32,
     /// Tokens to be read that were sent there since it spoke last.
     pub to_read: u32,
     /// Time, in milliseconds, for which they hold streams up there, as far as that makes them late.
-    pub long_reading_ms: u32,
+    pub long_prefill_ms: u32,
     /// Large shared parts of prompts among them.
-    pub parts: Vec<u64>,
+    pub prefixes: Vec<u64>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -86,13 +86,13 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Placement {
     /// What it asks for.
-    pub work: Work,
+    pub work: GenerationWork,
     /// Hash of what it is about.
     pub subject: Option<u64>,
     /// What was estimated.
-    pub estimate: Estimate,
+    pub estimate: PlacementEstimate,
     /// The harm that was expected.
-    pub harm: Harm,
+    pub cost: PlacementCost,
 }
 
 /// A request of this router whose first event has not come.
@@ -118,17 +118,17 @@
     /// What other routers were told of it last.
     told_running: f64,
     peers: HashMap<u64, PeerWord>,
-    speed: Option<f64>,
+    prefill_speed: Option<f64>,
     kept: HashMap<u64, Timestamp>,
-    long_reading_ms: f64,
+    long_prefill_ms: f64,
     long_reading_at: Timestamp,
     /// What other routers have not been told yet.
-    untold: EngineNews,
+    unreported: EngineLoadUpdate,
 }
 
 /// What was estimated when a request was sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Estimate {
+pub struct PlacementEstimate {
     /// Tokens of this prompt that the engine has to read.
     pub to_read: f64,
     /// Tokens of earlier prompts that it has to read first.
@@ -137,9 +137,9 @@
     pub first_event_ms: f64,
     /// Time that the engine needs for what it has to read and, if that is more, has been sent lately,
     /// in milliseconds: so long do streams that run there come slowly, this request left out.
-    pub read_before_ms: f64,
+    pub prefill_before_ms: f64,
     /// The same with this request.
-    pub reading_ms: f64,
+    pub prefill_ms: f64,
     /// Weight of the streams that run there.
     pub running: f64,
     /// Part of the time of late for which long readings held up the streams there.
@@ -152,7 +152,7 @@
     /// Tokens left to be read: what time has not worked off, but at least what this router's own
     /// requests wait for.
     pub fn to_read(&self, now: Timestamp, usual_speed: Option<f64>) -> f64 {
-        let read = now.since(self.to_read_at).0 as f64 * self.speed(usual_speed);
+        let read = now.since(self.to_read_at).0 as f64 * self.prefill_speed(usual_speed);
         let waited_for: f64 = self.waiting.iter().map(|waiting| waiting.to_read).sum();
         (self.to_read - read).max(waited_for)
     }
@@ -164,8 +164,8 @@
     }
 
     /// Reading speed in tokens per millisecond: its own, that of the others, or an assumption.
-    pub fn speed(&self, usual_speed: Option<f64>) -> f64 {
-        self.speed.or(usual_speed).unwrap_or(SPEED_ASSUMED)
+    pub fn prefill_speed(&self, usual_speed: Option<f64>) -> f64 {
+        self.prefill_speed.or(usual_speed).unwrap_or(SPEED_ASSUMED)
     }
 
     /// Weight of all streams that run there, as far as is known.
@@ -180,7 +180,7 @@
     }
 
     /// Whether the engine keeps a part of a prompt, as far as is known.
-    pub fn keeps(&self, now: Timestamp, subject: u64) -> bool {
+    pub fn has_cached(&self, now: Timestamp, subject: u64) -> bool {
         self.kept.get(&subject).is_some_and(|at| now.since(*at) < KEPT_FOR)
     }
 
@@ -190,21 +190,21 @@
         &self,
         now: Timestamp,
         usual_speed: Option<f64>,
-        work: &Work,
+        work: &GenerationWork,
         kept: bool,
-    ) -> Estimate {
-        let speed = self.speed(usual_speed);
+    ) -> PlacementEstimate {
+        let prefill_speed = self.prefill_speed(usual_speed);
         let shared = if kept { 0.0 } else { work.shared.0 as f64 };
         let to_read = work.own.0 as f64 + shared;
         let ahead = self.to_read(now, usual_speed);
         let lately = self.sent_lately(now).max(ahead);
         let overdue = self.overdue(now).0 as f64;
-        Estimate {
+        PlacementEstimate {
             to_read,
             ahead,
-            first_event_ms: FIRST_EVENT_OVERHEAD_MS + (ahead + to_read) / speed + overdue,
-            read_before_ms: lately / speed,
-            reading_ms: (lately + to_read) / speed,
+            first_event_ms: FIRST_EVENT_OVERHEAD_MS + (ahead + to_read) / prefill_speed + overdue,
+            prefill_before_ms: lately / prefill_speed,
+            prefill_ms: (lately + to_read) / prefill_speed,
             running: self.running(now),
             long_readings: self.long_readings(now),
             mark: self.sent + to_read,
@@ -214,17 +214,18 @@
     /// Notes that a request was sent.
     pub fn on_sent(&mut self, now: Timestamp, usual_speed: Option<f64>, sent: &Placement) {
         let (work, made) = (&sent.work, &sent.estimate);
-        let held_up_ms = long_reading(made.reading_ms, work.gap_objective);
+        let held_up_ms = long_reading(made.prefill_ms, work.gap_objective);
         self.add(now, usual_speed, made.to_read, held_up_ms);
         self.own_running += work.weight();
         let expected_at = now + Millis(made.first_event_ms as u64);
         self.waiting.push(Waiting { mark: made.mark, to_read: made.to_read, expected_at });
-        self.untold.to_read = self.untold.to_read.saturating_add(made.to_read as u32);
-        self.untold.long_reading_ms = self.untold.long_reading_ms.saturating_add(held_up_ms as u32);
+        self.unreported.to_read = self.unreported.to_read.saturating_add(made.to_read as u32);
+        self.unreported.long_prefill_ms =
+            self.unreported.long_prefill_ms.saturating_add(held_up_ms as u32);
         if let Some(subject) = sent.subject {
-            self.note_kept(now, subject);
+            self.note_cached(now, subject);
             if work.shared >= PART_TOLD_FROM {
-                self.untold.parts.push(subject);
+                self.unreported.prefixes.push(subject);
             }
         }
     }
@@ -235,7 +236,7 @@
         &mut self,
         now: Timestamp,
         usual_speed: Option<f64>,
-        made: &Estimate,
+        made: &PlacementEstimate,
         took: Millis,
     ) -> Option<f64> {
         self.forget_waiting(made);
@@ -247,14 +248,14 @@
         if read < SPEED_SAMPLE {
             return None;
         }
-        let reading_ms = (took.0 as f64 - FIRST_EVENT_OVERHEAD_MS).max(1.0);
-        let seen = read / reading_ms;
-        self.speed = Some(follow(self.speed.or(usual_speed), seen));
+        let prefill_ms = (took.0 as f64 - FIRST_EVENT_OVERHEAD_MS).max(1.0);
+        let seen = read / prefill_ms;
+        self.prefill_speed = Some(track_median(self.prefill_speed.or(usual_speed), seen));
         Some(seen)
     }
 
     /// Notes that a request has ended.
-    pub fn on_end(&mut self, work: &Work, made: &Estimate) {
+    pub fn on_end(&mut self, work: &GenerationWork, made: &PlacementEstimate) {
         self.forget_waiting(made);
         let left = self.own_running - work.weight();
         // What is left of adding and taking away fractions is no stream.
@@ -262,16 +263,16 @@
     }
 
     /// Takes in what another router says.
-    pub fn on_news(
+    pub fn on_peer_update(
         &mut self,
         now: Timestamp,
         usual_speed: Option<f64>,
         router: u64,
-        news: &EngineNews,
+        news: &EngineLoadUpdate,
     ) {
-        self.add(now, usual_speed, f64::from(news.to_read), f64::from(news.long_reading_ms));
-        for part in &news.parts {
-            self.note_kept(now, *part);
+        self.add(now, usual_speed, f64::from(news.to_read), f64::from(news.long_prefill_ms));
+        for part in &news.prefixes {
+            self.note_cached(now, *part);
         }
         if news.running > 0.0 {
             let word = PeerWord { running: f64::from(news.running), at: now };
@@ -282,7 +283,7 @@
     }
 
     /// Notes that an engine keeps a part of prompts.
-    pub fn note_kept(&mut self, now: Timestamp, subject: u64) {
+    pub fn note_cached(&mut self, now: Timestamp, subject: u64) {
         if self.kept.len() >= KEPT_PARTS {
             self.kept.retain(|_, at| now.since(*at) < KEPT_FOR);
         }
@@ -292,10 +293,10 @@
     }
 
     /// What other routers should know and have not been told. Counts as told.
-    pub fn take_news(&mut self) -> EngineNews {
+    pub fn take_updates(&mut self) -> EngineLoadUpdate {
         self.told_running = self.own_running;
-        let untold = std::mem::take(&mut self.untold);
-        EngineNews { running: self.own_running as f32, ..untold }
+        let unreported = std::mem::take(&mut self.unreported);
+        EngineLoadUpdate { running: self.own_running as f32, ..unreported }
     }
 
     /// Forgets what routers have said that say nothing any more.
@@ -306,16 +307,16 @@
 
     /// Whether other routers should be told of this engine now and then: this one has streams there,
     /// or its last one has just ended.
-    pub fn has_news(&self) -> bool {
-        self.own_running > 0.0 || self.told_running > 0.0 || self.untold.to_read > 0
+    pub fn has_update(&self) -> bool {
+        self.own_running > 0.0 || self.told_running > 0.0 || self.unreported.to_read > 0
     }
 
     /// Tokens to be read that other routers have not been told of.
-    pub fn untold(&self) -> Tokens {
-        Tokens(u64::from(self.untold.to_read))
+    pub fn unreported(&self) -> Tokens {
+        Tokens(u64::from(self.unreported.to_read))
     }
 
-    fn forget_waiting(&mut self, made: &Estimate) {
+    fn forget_waiting(&mut self, made: &PlacementEstimate) {
         let place = self.waiting.iter().position(|waiting| waiting.mark == made.mark);
         if let Some(place) = place {
             self.waiting.swap_remove(place);
@@ -328,7 +329,7 @@
         self.sent += to_read;
         self.sent_lately = self.sent_lately(now) + to_read;
         self.sent_lately_at = now;
-        self.long_reading_ms = self.long_reading_left(now) + held_up_ms;
+        self.long_prefill_ms = self.long_reading_left(now) + held_up_ms;
         self.long_reading_at = now;
     }
 
@@ -344,12 +345,12 @@
 
     fn long_reading_left(&self, now: Timestamp) -> f64 {
         let age = now.since(self.long_reading_at).0 as f64;
-        self.long_reading_ms * (-age / LONG_READING_TIME_MS).exp()
+        self.long_prefill_ms * (-age / LONG_READING_TIME_MS).exp()
     }
 }
 
 /// Moves the usual reading speed towards what was just seen.
-pub(crate) fn follow(usual: Option<f64>, seen: f64) -> f64 {
+pub(crate) fn track_median(usual: Option<f64>, seen: f64) -> f64 {
     let usual = usual.unwrap_or(SPEED_ASSUMED);
     let next = if seen > usual { usual * SPEED_STEP } else { usual / SPEED_STEP };
     next.clamp(SPEED_BOUNDS.0, SPEED_BOUNDS.1)
@@ -357,6 +358,6 @@
 
 /// How long streams are held up by a reading, if that makes them late: the reading itself and the
 /// streams that begin in it.
-fn long_reading(reading_ms: f64, gap_objective: Millis) -> f64 {
-    if reading_ms >= gap_objective.0 as f64 { reading_ms } else { 0.0 }
+fn long_reading(prefill_ms: f64, gap_objective: Millis) -> f64 {
+    if prefill_ms >= gap_objective.0 as f64 { prefill_ms } else { 0.0 }
 }
--- a/crates/gateway-core/src/engine_notice.rs
+++ b/crates/gateway-core/src/engine_notice.rs
@@ -73,20 +73,20 @@
 
 /// What a notice changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Merge {
+pub enum MergeOutcome {
     /// Nothing: it was old.
-    Old,
+    Stale,
     /// The engine is still what it was.
     Refreshed,
     /// The engine is new or has changed its state.
     Changed,
 }
 
-impl Merge {
+impl MergeOutcome {
     /// The change as it stands in logs and figures.
     pub fn as_str(self) -> &'static str {
         match self {
-            Self::Old => "old",
+            Self::Stale => "old",
             Self::Refreshed => "refreshed",
             Self::Changed => "changed",
         }
@@ -95,7 +95,7 @@
 
 /// Changes of an [`crate::EngineDirectory`], for a process that follows.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct DirectoryNews {
+pub struct DirectoryDelta {
     /// The revision after which the changes begin.
     pub base: u64,
     /// The revision up to which they go.
--- a/crates/gateway-core/src/engine_permits.rs
+++ b/crates/gateway-core/src/engine_permits.rs
@@ -14,8 +14,8 @@
 use crate::directory::{EngineDirectory, EngineRecord};
 use crate::hashing::mix;
 use crate::rate_bucket::RateBucket;
-use crate::slot_shares::{SlotShares, hash_of};
-use crate::stated_rates::{RateChange, RateNews, RateStatement, StatedRates};
+use crate::slot_shares::{SlotShares, router_hash};
+use crate::stated_rates::{RateChange, RateStatement, RateUpdate, StatedRates};
 use stackpost_types::{BackEndName, Digest, Millis, RequestRate, ServiceName, Timestamp};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -31,7 +31,7 @@
 
 /// What a request for a service can expect, as far as its engines state what they take.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum PermitOutlook {
+pub enum PermitAvailability {
     /// An engine states no rate.
     Unlimited,
     /// Every engine states a rate, and a permit may be had.
@@ -119,11 +119,11 @@
     }
 
     /// Takes in what another router has heard of a rate.
-    pub fn learn_told(&mut self, now: Timestamp, news: &RateNews) -> Option<RateChange> {
-        let change = self.rates.learn_told(now, news)?;
+    pub fn learn_from_peer(&mut self, now: Timestamp, news: &RateUpdate) -> Option<RateChange> {
+        let change = self.rates.learn_from_peer(now, news)?;
         self.on_change(now, &news.engine, change);
         if self.owns(&news.engine) {
-            self.rates.tell(&news.engine);
+            self.rates.schedule_update(&news.engine);
         }
         Some(change)
     }
@@ -163,16 +163,16 @@
     }
 
     /// What is known of up to `most` engines that state a rate, that another router owns, and that `counts` says count.
-    pub fn known_of_owner(
+    pub fn updates_for_owner(
         &self,
         now: Timestamp,
         owner: SocketAddr,
         counts: impl Fn(&BackEndName) -> bool,
         most: usize,
-    ) -> Vec<RateNews> {
+    ) -> Vec<RateUpdate> {
         let owned = self.rates.limited().filter(|engine| self.owners.get(*engine) == Some(&owner));
         let counted = owned.filter(|engine| counts(engine)).take(most);
-        counted.filter_map(|engine| self.rates.news_of(now, engine)).collect()
+        counted.filter_map(|engine| self.rates.update_for(now, engine)).collect()
     }
 
     /// Every other router.
@@ -197,7 +197,7 @@
 
     /// Whether a permit of `lender` counts for an engine: of one that states a rate only its owner's does, whatever a router
     /// that has not heard of the statement lends.
-    pub fn counts_from(&mut self, lender: SocketAddr, engine: &BackEndName) -> bool {
+    pub fn accepts_permit_from(&mut self, lender: SocketAddr, engine: &BackEndName) -> bool {
         self.rates.rate(engine).is_none() || self.owner(engine) == Some(lender)
     }
 
@@ -222,7 +222,7 @@
     }
 
     /// A request goes to an engine, whether there is room for it or not. Its slot is in use until
-    /// [`SlotShares::give_back`], unless it is held to rates only.
+    /// [`SlotShares::release_slot`], unless it is held to rates only.
     pub fn take(&mut self, now: Timestamp, engine: &BackEndName, scope: PermitScope) {
         if scope == PermitScope::RateAndSlot {
             self.slots.take(engine);
@@ -233,22 +233,24 @@
     }
 
     /// What requests can expect of `engines`, all those of a service that may be asked.
-    pub fn outlook<'a>(
+    pub fn availability<'a>(
         &mut self,
         now: Timestamp,
         engines: impl Iterator<Item = &'a EngineRecord>,
-    ) -> PermitOutlook {
+    ) -> PermitAvailability {
         let mut soonest: Option<(Millis, &BackEndName)> = None;
         for engine in engines {
             let Some(wait) = self.wait(now, engine) else {
-                return PermitOutlook::Unlimited;
+                return PermitAvailability::Unlimited;
             };
             soonest = soonest.into_iter().chain([(wait, &engine.notice.engine)]).min();
         }
         match soonest {
-            None => PermitOutlook::Unlimited,
-            Some((Millis(0), _)) => PermitOutlook::Available,
-            Some((soonest, engine)) => PermitOutlook::Spent { soonest, engine: engine.clone() },
+            None => PermitAvailability::Unlimited,
+            Some((Millis(0), _)) => PermitAvailability::Available,
+            Some((soonest, engine)) => {
+                PermitAvailability::Spent { soonest, engine: engine.clone() }
+            }
         }
     }
 
@@ -267,7 +269,7 @@
 
     /// Time until this router has a permit to give for an engine that `counts` says counts; `None` if it owns none of
     /// them.
-    pub fn next_own(
+    pub fn next_owned_permit(
         &mut self,
         now: Timestamp,
         counts: impl Fn(&BackEndName) -> bool,
@@ -323,7 +325,7 @@
             let name = &engine.notice.engine;
             match self.rates.rate(name).and_then(|_| self.owner(name)) {
                 Some(owner) if self.wait(now, engine) == Some(Millis(0)) => {
-                    lenders.push((owner, hash_of(owner)))
+                    lenders.push((owner, router_hash(owner)))
                 }
                 Some(_) => {}
                 None => lends_slots |= scope == PermitScope::RateAndSlot,
--- a/crates/gateway-core/src/load_shedding.rs
+++ b/crates/gateway-core/src/load_shedding.rs
@@ -66,11 +66,11 @@
 
 /// What one router sheds.
 #[derive(Clone, Debug, Default)]
-pub struct LoadShedding {
+pub struct LoadShedder {
     services: HashMap<ServiceName, ServiceDemand>,
 }
 
-impl LoadShedding {
+impl LoadShedder {
     /// A request arrives for a service of which every engine states a rate; this router owns `owned` of these. Returns
     /// whether to let it in. `lot` is any number that differs from request to request.
     pub fn admits(
@@ -96,7 +96,7 @@
     }
 
     /// A request of a service found no permit.
-    pub fn on_short(&mut self, now: Timestamp, service: &ServiceName) {
+    pub fn on_no_permit(&mut self, now: Timestamp, service: &ServiceName) {
         if let Some(demand) = self.services.get_mut(service) {
             demand.short_until = now + SHORT_FOR;
         }
@@ -105,7 +105,7 @@
     /// When a caller who is refused now should return: no sooner than the first permit comes (`soonest`), behind those who
     /// were told before at the pace at which permits can be had, and no later than is of use to it (`latest`). Beyond
     /// that it returns at a moment of its own (`lot`) in the later half of that time.
-    pub fn return_after(
+    pub fn retry_delay(
         &mut self,
         now: Timestamp,
         service: &ServiceName,
@@ -172,7 +172,7 @@
             demand.rate = smooth(demand.rate, std::mem::take(&mut demand.arrived));
         }
         self.classes.retain(|_, demand| demand.rate > 0.01);
-        let owned = owned.in_thousand_seconds() as f64 / 1_000.0;
+        let owned = owned.milli_rps() as f64 / 1_000.0;
         self.capacity = (self.got_rate * HEADROOM + LEAST_HEADROOM).max(owned);
         self.deal();
     }
--- a/crates/gateway-core/src/picker.rs
+++ b/crates/gateway-core/src/picker.rs
@@ -7,15 +7,15 @@
 //!
 //! An engine is avoided while it fails, while its zone can't be reached, and while it has not been
 //! announced for some time; it is used all the same if there is no better one. These are guesses. What an
-//! engine has asked for itself is none ([`HoldOff`]): such an engine is no candidate, whatever else there is.
+//! engine has asked for itself is none ([`BackoffTracker`]): such an engine is no candidate, whatever else there is.
 
+use crate::backoff::{BackoffChange, BackoffTracker};
 use crate::directory::{EngineDirectory, EngineRecord};
 use crate::engine_health::EngineHealth;
-use crate::engine_load::{EngineLoad, EngineNews, Placement, Work, follow};
+use crate::engine_load::{EngineLoad, EngineLoadUpdate, GenerationWork, Placement, track_median};
 use crate::engine_notice::EngineState;
 use crate::hashing::mix;
-use crate::hold_off::{HoldOff, RestChange};
-use crate::placement::Harm;
+use crate::placement::PlacementCost;
 use stackpost_types::{BackEndName, Digest, Millis, ServiceName, Timestamp, Tokens, ZoneName};
 use std::collections::HashMap;
 
@@ -44,7 +44,7 @@
     /// It said that it has no room.
     Full,
     /// It said that it wants no request for a while. That is its wish and no failure of it.
-    AskedForRest,
+    BackoffRequested,
     /// No connection came up.
     Unreachable,
     /// The connection broke or the answer was not one.
@@ -55,7 +55,7 @@
 
 /// The engine for a request.
 #[derive(Clone, Debug)]
-pub struct Choice {
+pub struct EngineChoice {
     /// The engine.
     pub engine: EngineRecord,
     /// What a generation is expected to meet there; `None` for other requests.
@@ -72,13 +72,13 @@
     /// Hash of what the request is about.
     pub subject: Option<u64>,
     /// What it asks of a model engine; `None` for requests to other services.
-    pub work: Option<Work>,
+    pub work: Option<GenerationWork>,
     /// Engines that it is not to be sent to again.
     pub tried: &'a [BackEndName],
     /// Whether there is room for it at an engine, by what the engine states that it takes.
     pub has_room: &'a dyn Fn(&EngineRecord) -> bool,
     /// Whether an engine has turned it away before. It is no request to try an engine with whose rest is over.
-    pub is_repeat: bool,
+    pub is_retry: bool,
     /// Breaks ties.
     pub tie_breaker: u64,
 }
@@ -90,7 +90,7 @@
             Self::Answered => "answered",
             Self::EngineError => "engine_error",
             Self::Full => "full",
-            Self::AskedForRest => "asked_for_rest",
+            Self::BackoffRequested => "asked_for_rest",
             Self::Unreachable => "unreachable",
             Self::Broken => "broken",
             Self::Abandoned => "abandoned",
@@ -128,11 +128,11 @@
 
 /// What requests for a service can expect of its engines.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ServiceOutlook {
+pub enum ServiceAvailability {
     /// An engine may be asked.
-    Open,
+    Available,
     /// Every engine that takes work has asked for rest.
-    AllRest {
+    AllBackingOff {
         /// Time until the first of them may be asked.
         soonest: Millis,
         /// That engine.
@@ -149,7 +149,7 @@
     engines: HashMap<BackEndName, EngineHealth>,
     zones: HashMap<ZoneName, ZoneHealth>,
     loads: HashMap<BackEndName, EngineLoad>,
-    hold_off: HoldOff,
+    backoff: BackoffTracker,
     /// Mean reading speed of all engines, in tokens per millisecond.
     usual_speed: Option<f64>,
 }
@@ -168,7 +168,7 @@
             engines: HashMap::new(),
             zones: HashMap::new(),
             loads: HashMap::new(),
-            hold_off: HoldOff::default(),
+            backoff: BackoffTracker::default(),
             usual_speed: None,
         }
     }
@@ -179,11 +179,11 @@
         now: Timestamp,
         directory: &EngineDirectory,
         query: &PickQuery<'_>,
-    ) -> Option<Choice> {
+    ) -> Option<EngineChoice> {
         let mut candidates = self.candidates(now, directory, query);
         let is_tried =
-            |candidate: &Candidate<'_>| !self.hold_off.is_on_trial(&candidate.record.notice.engine);
-        if query.is_repeat && candidates.iter().any(is_tried) {
+            |candidate: &Candidate<'_>| !self.backoff.is_probing(&candidate.record.notice.engine);
+        if query.is_retry && candidates.iter().any(is_tried) {
             candidates.retain(is_tried);
         }
         let best = candidates.iter().map(|candidate| candidate.standing).min()?;
@@ -195,44 +195,52 @@
             Some(subject) => self.pick_by_subject(&candidates, subject),
             None => self.pick_by_load(&candidates, query.tie_breaker),
         };
-        engine.map(|engine| Choice { engine: engine.clone(), placement: None, standing: best })
+        engine.map(|engine| EngineChoice {
+            engine: engine.clone(),
+            placement: None,
+            standing: best,
+        })
     }
 
     /// What a request for `service` can expect, whatever it is.
-    pub fn outlook(
+    pub fn availability(
         &self,
         now: Timestamp,
         directory: &EngineDirectory,
         service: &ServiceName,
-    ) -> ServiceOutlook {
+    ) -> ServiceAvailability {
         let mut soonest: Option<(Timestamp, &BackEndName)> = None;
         for record in ready_engines(directory, service) {
             let engine = &record.notice.engine;
-            match self.hold_off.open_from(engine) {
-                Some(from) if from <= now => return ServiceOutlook::Open,
+            match self.backoff.available_from(engine) {
+                Some(from) if from <= now => return ServiceAvailability::Available,
                 Some(from) => soonest = soonest.into_iter().chain([(from, engine)]).min(),
                 None => {}
             }
         }
-        soonest.map_or(ServiceOutlook::NoEngine, |(from, engine)| ServiceOutlook::AllRest {
-            soonest: from.since(now),
-            engine: engine.clone(),
+        soonest.map_or(ServiceAvailability::NoEngine, |(from, engine)| {
+            ServiceAvailability::AllBackingOff { soonest: from.since(now), engine: engine.clone() }
         })
     }
 
     /// An engine wants no request for a while.
-    pub fn on_rest(&mut self, now: Timestamp, engine: &BackEndName, rest: Millis) -> RestChange {
-        self.hold_off.on_rest(now, engine, rest)
+    pub fn on_backoff(
+        &mut self,
+        now: Timestamp,
+        engine: &BackEndName,
+        rest: Millis,
+    ) -> BackoffChange {
+        self.backoff.on_backoff(now, engine, rest)
     }
 
     /// An engine says that it leaves. Returns whether that is news.
     pub fn on_leaving(&mut self, engine: &BackEndName) -> bool {
-        self.hold_off.on_leaving(engine)
+        self.backoff.on_leaving(engine)
     }
 
     /// An engine has taken a request that was sent to it at `sent_at`.
-    pub fn on_taken(&mut self, engine: &BackEndName, sent_at: Timestamp) {
-        self.hold_off.on_taken(engine, sent_at);
+    pub fn on_accepted(&mut self, engine: &BackEndName, sent_at: Timestamp) {
+        self.backoff.on_accepted(engine, sent_at);
     }
 
     /// Whether a request that was chosen for an engine may still be sent: the engine has not left since, nor asked for rest.
@@ -242,24 +250,24 @@
         directory: &EngineDirectory,
         engine: &BackEndName,
     ) -> bool {
-        directory.takes_work(engine)
-            && !self.hold_off.is_resting(now, engine)
-            && !self.hold_off.is_leaving(engine)
+        directory.accepts_requests(engine)
+            && !self.backoff.is_backing_off(now, engine)
+            && !self.backoff.is_leaving(engine)
     }
 
     /// Whether an engine may be asked now, as far as it has said itself.
-    pub fn is_open(&self, now: Timestamp, engine: &BackEndName) -> bool {
-        self.hold_off.is_open(now, engine)
+    pub fn is_available(&self, now: Timestamp, engine: &BackEndName) -> bool {
+        self.backoff.is_available(now, engine)
     }
 
     /// Engines that rest.
     pub fn resting(&self, now: Timestamp) -> usize {
-        self.hold_off.resting(now)
+        self.backoff.resting(now)
     }
 
     /// Notes that a request is sent to an engine.
     pub fn on_start(&mut self, now: Timestamp, engine: &BackEndName, sent: Option<&Placement>) {
-        self.hold_off.on_sent(now, engine);
+        self.backoff.on_sent(now, engine);
         self.engines.entry(engine.clone()).or_default().on_sent(now);
         if let Some(sent) = sent {
             let load = self.loads.entry(engine.clone()).or_default();
@@ -277,25 +285,32 @@
     ) {
         let load = self.loads.entry(engine.clone()).or_default();
         if let Some(seen) = load.on_first_event(now, self.usual_speed, &sent.estimate, took) {
-            self.usual_speed = Some(follow(self.usual_speed, seen));
+            self.usual_speed = Some(track_median(self.usual_speed, seen));
         }
     }
 
     /// Takes in what another router says of its requests at an engine.
-    pub fn on_news(&mut self, now: Timestamp, router: u64, engine: BackEndName, news: &EngineNews) {
+    pub fn on_peer_update(
+        &mut self,
+        now: Timestamp,
+        router: u64,
+        engine: BackEndName,
+        news: &EngineLoadUpdate,
+    ) {
         if self.loads.len() >= MOST_LOADS && !self.loads.contains_key(&engine) {
             return;
         }
         let load = self.loads.entry(engine).or_default();
-        load.on_news(now, self.usual_speed, router, news);
+        load.on_peer_update(now, self.usual_speed, router, news);
     }
 
     /// What other routers should know of this one's requests. Counts as told. `urgent` leaves out
     /// the engines to which nothing was sent that is to be read.
-    pub fn take_news(&mut self, urgent: bool) -> Vec<(BackEndName, EngineNews)> {
-        let is_due = |load: &EngineLoad| load.has_news() && (!urgent || !load.untold().is_zero());
+    pub fn take_updates(&mut self, urgent: bool) -> Vec<(BackEndName, EngineLoadUpdate)> {
+        let is_due =
+            |load: &EngineLoad| load.has_update() && (!urgent || !load.unreported().is_zero());
         let told = self.loads.iter_mut().filter(|(_, load)| is_due(load));
-        told.map(|(engine, load)| (engine.clone(), load.take_news())).collect()
+        told.map(|(engine, load)| (engine.clone(), load.take_updates())).collect()
     }
 
     /// Tokens that an engine has to read.
@@ -305,8 +320,8 @@
     }
 
     /// Tokens to be read at an engine that other routers have not been told of.
-    pub fn untold(&self, engine: &BackEndName) -> Tokens {
-        self.loads.get(engine).map(EngineLoad::untold).unwrap_or_default()
+    pub fn unreported(&self, engine: &BackEndName) -> Tokens {
+        self.loads.get(engine).map(EngineLoad::unreported).unwrap_or_default()
     }
 
     /// Notes the end of a request at an engine.
@@ -323,23 +338,23 @@
         let zone = engine.notice.zone.clone();
         let health = self.engines.entry(engine.notice.engine.clone()).or_default();
         health.in_flight = health.in_flight.saturating_sub(1);
-        if matches!(end, AttemptEnd::Full | AttemptEnd::AskedForRest) {
-            health.turned_away_at = Some(now);
+        if matches!(end, AttemptEnd::Full | AttemptEnd::BackoffRequested) {
+            health.rejected_at = Some(now);
         }
         match end {
-            AttemptEnd::Answered => health.note(now, false),
+            AttemptEnd::Answered => health.record_outcome(now, false),
             AttemptEnd::EngineError | AttemptEnd::Full | AttemptEnd::Broken => {
-                health.note(now, true);
+                health.record_outcome(now, true);
             }
             AttemptEnd::Unreachable => health.eject(now),
-            AttemptEnd::AskedForRest | AttemptEnd::Abandoned => {}
+            AttemptEnd::BackoffRequested | AttemptEnd::Abandoned => {}
         }
         match end {
             AttemptEnd::Unreachable => self.on_zone_failure(now, zone),
             AttemptEnd::Answered
             | AttemptEnd::EngineError
             | AttemptEnd::Full
-            | AttemptEnd::AskedForRest => {
+            | AttemptEnd::BackoffRequested => {
                 health.answered_at = Some(now);
                 self.zones.remove(&zone);
             }
@@ -348,8 +363,8 @@
     }
 
     /// When an engine last turned a request of this router away.
-    pub fn turned_away_at(&self, engine: &BackEndName) -> Option<Timestamp> {
-        self.engines.get(engine)?.turned_away_at
+    pub fn rejected_at(&self, engine: &BackEndName) -> Option<Timestamp> {
+        self.engines.get(engine)?.rejected_at
     }
 
     /// Requests that this router sent to an engine later than `time`, some dozens at most.
@@ -368,7 +383,7 @@
             .retain(|engine, health| health.in_flight > 0 || directory.get(engine).is_some());
         self.loads.retain(|engine, _| directory.get(engine).is_some());
         self.loads.values_mut().for_each(|load| load.forget_old(now));
-        self.hold_off.forget_unknown(directory);
+        self.backoff.forget_unknown(directory);
     }
 
     fn candidates<'a>(
@@ -378,7 +393,7 @@
         query: &PickQuery<'_>,
     ) -> Vec<Candidate<'a>> {
         ready_engines(directory, query.service)
-            .filter(|record| self.hold_off.is_open(now, &record.notice.engine))
+            .filter(|record| self.backoff.is_available(now, &record.notice.engine))
             .filter(|record| !query.tried.contains(&record.notice.engine))
             .filter(|record| (query.has_room)(record))
             .map(|record| Candidate {
@@ -408,9 +423,9 @@
         &self,
         now: Timestamp,
         candidates: &[Candidate<'_>],
-        work: &Work,
+        work: &GenerationWork,
         query: &PickQuery<'_>,
-    ) -> Option<Choice> {
+    ) -> Option<EngineChoice> {
         let key = query.subject.unwrap_or(query.tie_breaker);
         let home = candidates.iter().max_by_key(|candidate| rank(candidate, key))?;
         let unused = EngineLoad::default();
@@ -418,18 +433,23 @@
             let engine = &candidate.record.notice.engine;
             let load = self.loads.get(engine).unwrap_or(&unused);
             let is_home = *engine == home.record.notice.engine;
-            let kept = is_home || query.subject.is_some_and(|subject| load.keeps(now, subject));
+            let kept =
+                is_home || query.subject.is_some_and(|subject| load.has_cached(now, subject));
             let estimate = load.estimate(now, self.usual_speed, work, kept);
-            (Harm::of(work, &estimate, kept), estimate)
+            (PlacementCost::of(work, &estimate, kept), estimate)
         };
         let judged = candidates.iter().map(|candidate| (candidate, judge(candidate)));
-        let (candidate, (harm, estimate)) = judged.min_by(|left, right| {
+        let (candidate, (cost, estimate)) = judged.min_by(|left, right| {
             let by_harm = left.1.0.total().total_cmp(&right.1.0.total());
             by_harm.then_with(|| rank(right.0, key).cmp(&rank(left.0, key)))
         })?;
-        let placement = Placement { work: *work, subject: query.subject, estimate, harm };
+        let placement = Placement { work: *work, subject: query.subject, estimate, cost };
         let standing = candidate.standing;
-        Some(Choice { engine: candidate.record.clone(), placement: Some(placement), standing })
+        Some(EngineChoice {
+            engine: candidate.record.clone(),
+            placement: Some(placement),
+            standing,
+        })
     }
 
     fn pick_by_subject<'a>(
--- a/crates/gateway-core/src/placement.rs
+++ b/crates/gateway-core/src/placement.rs
@@ -6,7 +6,7 @@
 //! in requests that are late, each with its weight. The weights were measured on several days of
 //! two deployments (docs/DECISIONS.md).
 
-use crate::engine_load::{Estimate, Work};
+use crate::engine_load::{GenerationWork, PlacementEstimate};
 use stackpost_types::Millis;
 
 /// Part of the time to the first event from which on a request may be late, and from which on it
@@ -29,41 +29,41 @@
 
 /// The harm that sending a request to an engine does.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Harm {
+pub struct PlacementCost {
     /// To the request itself: that it begins late.
-    pub late: f64,
+    pub lateness: f64,
     /// To the request itself: that others hold it up.
-    pub held_up: f64,
+    pub stall: f64,
     /// To the streams that run there.
-    pub to_others: f64,
+    pub interference: f64,
     /// By reading what is kept elsewhere.
-    pub read_again: f64,
+    pub recompute: f64,
     /// By making an engine read longer than another one would.
-    pub reading: f64,
+    pub prefill: f64,
 }
 
-impl Harm {
+impl PlacementCost {
     /// The harm of sending a request with `work` where `estimate` was made.
-    pub fn of(work: &Work, estimate: &Estimate, kept: bool) -> Self {
+    pub fn of(work: &GenerationWork, estimate: &PlacementEstimate, kept: bool) -> Self {
         let weight = work.weight();
         let gap = work.gap_objective.0 as f64;
-        let late = ramp(estimate.first_event_ms / at_least_one(work.objective), LATE_FROM_TO);
-        let pause = ramp(estimate.reading_ms / gap.max(1.0), PAUSE_FROM_TO);
-        let pause_before = ramp(estimate.read_before_ms / gap.max(1.0), PAUSE_FROM_TO);
+        let lateness = ramp(estimate.first_event_ms / at_least_one(work.objective), LATE_FROM_TO);
+        let pause = ramp(estimate.prefill_ms / gap.max(1.0), PAUSE_FROM_TO);
+        let pause_before = ramp(estimate.prefill_before_ms / gap.max(1.0), PAUSE_FROM_TO);
         let hits = estimate.long_readings * STREAM_MS / gap.max(1.0);
         let shared = if kept { 0.0 } else { work.shared.0 as f64 };
         Self {
-            late: weight * late,
-            held_up: weight * hits.min(1.0),
-            to_others: estimate.running * (pause - pause_before).max(0.0),
-            read_again: READ_AGAIN * shared / 1_000.0,
-            reading: READING_SECOND * estimate.reading_ms / 1_000.0,
+            lateness: weight * lateness,
+            stall: weight * hits.min(1.0),
+            interference: estimate.running * (pause - pause_before).max(0.0),
+            recompute: READ_AGAIN * shared / 1_000.0,
+            prefill: READING_SECOND * estimate.prefill_ms / 1_000.0,
         }
     }
 
     /// All of it, in steps that are worth telling apart.
     pub fn total(&self) -> f64 {
-        let all = self.late + self.held_up + self.to_others + self.read_again + self.reading;
+        let all = self.lateness + self.stall + self.interference + self.recompute + self.prefill;
         (all / INDIFFERENT).floor()
     }
 }
--- a/crates/gateway-core/src/quarantine.rs
+++ b/crates/gateway-core/src/quarantine.rs
@@ -3,7 +3,7 @@
 //! A request that ends the engine which runs it looks, in any one try, like a request that was unlucky.
 //! Only over its repeats does it show: they come under other ids, over other connections, to any router.
 //! So sightings are gathered for the whole fleet by what was asked, and a request that has been seen at
-//! the end of [`ENGINES_LOST`] engines is quarantined.
+//! the end of [`CRASHES_TO_QUARANTINE`] engines is quarantined.
 //!
 //! Every request that ran beside it saw the same engine end. Three things keep these apart:
 //! - An engine that goes on announcing itself has not ended; what was seen there is taken back.
@@ -11,7 +11,7 @@
 //! - A quarantine ends after some time. The next engine that ends under the request brings it back, for
 //!   twice as long.
 //!
-//! Invariants: a request's engines are distinct lives of engines; at most [`MAX_REQUESTS`] requests are
+//! Invariants: a request's engines are distinct lives of engines; at most [`MAX_SUSPECTS`] requests are
 //! kept, and one that is quarantined is forgotten only if all of them are. Without I/O and clock, so that
 //! replicas that take in the same changes in the same order hold the same state.
 
@@ -22,13 +22,13 @@
 
 /// Engines that may end under a request before it is let in no more. Of 7,784 requests of a day of
 /// trouble without such a request none met the end of three; the request itself ends one a copy.
-pub const ENGINES_LOST: usize = 3;
+pub const CRASHES_TO_QUARANTINE: usize = 3;
 /// Requests kept. Each engine that ends adds those that ran there, some dozens; with names of engines
 /// this is about 200 KB.
-pub const MAX_REQUESTS: usize = 2_048;
+pub const MAX_SUSPECTS: usize = 2_048;
 /// First quarantine of a request. Each release may cost an engine, and a copy that is under way beside it
 /// another one; an innocent is cleared sooner by whatever ends well.
-pub const FIRST_QUARANTINE: Millis = Millis(300_000);
+pub const INITIAL_QUARANTINE: Millis = Millis(300_000);
 /// Doublings of the quarantine at most: 160 minutes.
 const MAX_DOUBLINGS: u32 = 5;
 
@@ -45,21 +45,21 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum QuarantineChange {
     /// Engines have ended under requests.
-    Seen(Vec<CrashSighting>),
+    CrashesSeen(Vec<CrashSighting>),
     /// The engine has not ended after all.
-    StillRuns(BackEndName),
+    EngineAlive(BackEndName),
     /// These requests have ended well.
     Cleared(Vec<RequestFingerprint>),
     /// These requests have been quarantined for as long as they were to be.
     Released(Vec<RequestFingerprint>),
     /// Nothing has been seen of these requests for long.
-    Forgotten(Vec<RequestFingerprint>),
+    Expired(Vec<RequestFingerprint>),
 }
 
 /// What is held against one request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Suspect {
-    /// Engines that ended under it, at most [`ENGINES_LOST`].
+    /// Engines that ended under it, at most [`CRASHES_TO_QUARANTINE`].
     engines: BTreeSet<BackEndName>,
     /// How often it was released from quarantine.
     releases: u32,
@@ -75,12 +75,12 @@
 
     /// Whether it is let in no more.
     pub fn is_quarantined(&self) -> bool {
-        self.engines.len() >= ENGINES_LOST
+        self.engines.len() >= CRASHES_TO_QUARANTINE
     }
 
     /// How long its quarantine is to last.
     pub fn quarantine_time(&self) -> Millis {
-        Millis(FIRST_QUARANTINE.0 << self.releases.min(MAX_DOUBLINGS))
+        Millis(INITIAL_QUARANTINE.0 << self.releases.min(MAX_DOUBLINGS))
     }
 }
 
@@ -106,27 +106,29 @@
 
 impl QuarantineNotice {
     /// Whether the same requests are named.
-    pub fn says_the_same(&self, other: &Self) -> bool {
+    pub fn has_same_requests(&self, other: &Self) -> bool {
         self.quarantined == other.quarantined && self.suspected == other.suspected
     }
 
     /// Whether a request is named.
-    pub fn names(&self, request: &RequestFingerprint) -> bool {
+    pub fn includes(&self, request: &RequestFingerprint) -> bool {
         self.quarantined.contains(request) || self.suspected.contains(request)
     }
 }
 
 impl Quarantine {
     /// Whether a change would change anything.
-    pub fn is_news(&self, change: &QuarantineChange) -> bool {
+    pub fn would_change(&self, change: &QuarantineChange) -> bool {
         let known = |request: &RequestFingerprint| self.suspects.contains_key(request);
         match change {
-            QuarantineChange::Seen(sightings) => sightings.iter().any(|seen| self.is_new(seen)),
-            QuarantineChange::StillRuns(engine) => self.concerns(engine),
+            QuarantineChange::CrashesSeen(sightings) => {
+                sightings.iter().any(|seen| self.is_new(seen))
+            }
+            QuarantineChange::EngineAlive(engine) => self.has_crashes_of(engine),
             QuarantineChange::Released(requests) => {
                 requests.iter().any(|request| self.is_quarantined(request))
             }
-            QuarantineChange::Cleared(requests) | QuarantineChange::Forgotten(requests) => {
+            QuarantineChange::Cleared(requests) | QuarantineChange::Expired(requests) => {
                 requests.iter().any(known)
             }
         }
@@ -136,11 +138,11 @@
     pub fn apply(&mut self, change: QuarantineChange) {
         self.revision += 1;
         match change {
-            QuarantineChange::Seen(sightings) => {
+            QuarantineChange::CrashesSeen(sightings) => {
                 sightings.into_iter().for_each(|seen| self.see(seen));
             }
-            QuarantineChange::StillRuns(engine) => self.still_runs(&engine),
-            QuarantineChange::Cleared(requests) | QuarantineChange::Forgotten(requests) => {
+            QuarantineChange::EngineAlive(engine) => self.still_runs(&engine),
+            QuarantineChange::Cleared(requests) | QuarantineChange::Expired(requests) => {
                 requests.iter().for_each(|request| {
                     self.suspects.remove(request);
                 });
@@ -162,7 +164,7 @@
     }
 
     /// Whether an engine is said to have ended.
-    pub fn concerns(&self, engine: &BackEndName) -> bool {
+    pub fn has_crashes_of(&self, engine: &BackEndName) -> bool {
         self.suspects.values().any(|suspect| suspect.engines.contains(engine))
     }
 
@@ -189,8 +191,8 @@
         };
         QuarantineNotice {
             revision: self.revision,
-            quarantined: with(ENGINES_LOST),
-            suspected: with(ENGINES_LOST - 1),
+            quarantined: with(CRASHES_TO_QUARANTINE),
+            suspected: with(CRASHES_TO_QUARANTINE - 1),
         }
     }
 
@@ -205,7 +207,7 @@
         if !self.is_new(&seen) {
             return;
         }
-        if !self.suspects.contains_key(&seen.request) && self.suspects.len() >= MAX_REQUESTS {
+        if !self.suspects.contains_key(&seen.request) && self.suspects.len() >= MAX_SUSPECTS {
             self.forget_one();
         }
         self.next_order += 1;
--- a/crates/gateway-core/src/rate_bucket.rs
+++ b/crates/gateway-core/src/rate_bucket.rs
@@ -31,8 +31,8 @@
 
     /// Adds what has accrued at `rate` up to now.
     pub fn fill(&mut self, now: Timestamp, rate: RequestRate) {
-        let accrued = now.since(self.filled_at).0.saturating_mul(rate.in_thousand_seconds());
-        let most = ONE_REQUEST + GATHERING.0 * rate.in_thousand_seconds();
+        let accrued = now.since(self.filled_at).0.saturating_mul(rate.milli_rps());
+        let most = ONE_REQUEST + GATHERING.0 * rate.milli_rps();
         self.level = self.level.saturating_add(accrued).min(most);
         self.filled_at = now.max(self.filled_at);
     }
@@ -46,7 +46,7 @@
             if rate == RequestRate::ZERO { LONGEST_SILENCE_AT_ZERO } else { LONGEST_SILENCE };
         let silence_ends = (self.taken_at + longest).since(now);
         let lacking = ONE_REQUEST - self.level;
-        let accrues = lacking.checked_div(rate.in_thousand_seconds());
+        let accrues = lacking.checked_div(rate.milli_rps());
         accrues.map_or(silence_ends, |time| Millis(time + 1).min(silence_ends))
     }
 
--- a/crates/gateway-core/src/retry_budget.rs
+++ b/crates/gateway-core/src/retry_budget.rs
@@ -58,7 +58,7 @@
     }
 
     /// Whether a request may be sent to a further engine now; counts it if so.
-    pub fn try_repeat(&mut self, now: Timestamp, service: &ServiceName) -> bool {
+    pub fn try_retry(&mut self, now: Timestamp, service: &ServiceName) -> bool {
         let window = self.limits.window;
         let history = self.by_service.entry(service.clone()).or_default();
         forget_before(&mut history.requests, now, window);
--- a/crates/gateway-core/src/router_lists.rs
+++ b/crates/gateway-core/src/router_lists.rs
@@ -14,7 +14,7 @@
 
 /// A router and where other routers find it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct RouterSite {
+pub struct RouterEndpoint {
     /// Its zone.
     pub zone: ZoneName,
     /// Where it accepts connections of the fleet.
@@ -32,9 +32,9 @@
 
 impl ZoneRouters {
     /// Groups sites by zone.
-    pub fn group(sites: &[RouterSite]) -> Vec<Self> {
+    pub fn group(endpoints: &[RouterEndpoint]) -> Vec<Self> {
         let mut zones: BTreeMap<&ZoneName, Vec<SocketAddr>> = BTreeMap::new();
-        for site in sites {
+        for site in endpoints {
             zones.entry(&site.zone).or_default().push(site.address);
         }
         let group = |(zone, addresses): (&ZoneName, Vec<SocketAddr>)| Self {
@@ -45,16 +45,16 @@
     }
 
     /// The single sites.
-    pub fn sites(&self) -> impl Iterator<Item = RouterSite> {
+    pub fn endpoints(&self) -> impl Iterator<Item = RouterEndpoint> {
         self.addresses
             .iter()
-            .map(|address| RouterSite { zone: self.zone.clone(), address: *address })
+            .map(|address| RouterEndpoint { zone: self.zone.clone(), address: *address })
     }
 }
 
 #[derive(Clone, Debug)]
 struct List {
-    routers: Vec<RouterSite>,
+    routers: Vec<RouterEndpoint>,
     /// When the connection over which it came was lost.
     lost_at: Option<Timestamp>,
 }
@@ -73,7 +73,7 @@
 
 impl<L: Ord + Copy> RouterLists<L> {
     /// A control process tells which routers it hears.
-    pub fn on_told(&mut self, link: L, routers: Vec<RouterSite>) {
+    pub fn on_router_list(&mut self, link: L, routers: Vec<RouterEndpoint>) {
         self.lists.insert(link, List { routers, lost_at: None });
     }
 
@@ -86,7 +86,7 @@
 
     /// The routers that are there, in order; `None` while nobody has told. Out of sight of all control processes what
     /// they said last stands.
-    pub fn sites(&mut self, now: Timestamp) -> Option<BTreeSet<RouterSite>> {
+    pub fn endpoints(&mut self, now: Timestamp) -> Option<BTreeSet<RouterEndpoint>> {
         if self.lists.values().any(|list| list.lost_at.is_none()) {
             let is_old = |list: &List| {
                 list.lost_at.is_some_and(|lost_at| now.since(lost_at) >= LOST_LISTS_KEPT)
@@ -102,7 +102,7 @@
     /// The addresses of the routers that are there, but for `own`, in order; `None` while nobody has told.
     pub fn others(&mut self, now: Timestamp, own: SocketAddr) -> Option<Vec<SocketAddr>> {
         let there: BTreeSet<SocketAddr> =
-            self.sites(now)?.into_iter().map(|site| site.address).collect();
+            self.endpoints(now)?.into_iter().map(|site| site.address).collect();
         Some(there.into_iter().filter(|router| *router != own).collect())
     }
 }
--- a/crates/gateway-core/src/slot_shares.rs
+++ b/crates/gateway-core/src/slot_shares.rs
@@ -59,7 +59,7 @@
         let known = self.others.iter().map(|(router, _)| router);
         let is_news = !known.eq(others);
         if is_news {
-            self.others = others.iter().map(|router| (*router, hash_of(*router))).collect();
+            self.others = others.iter().map(|router| (*router, router_hash(*router))).collect();
             self.shares.clear();
         }
         is_news
@@ -72,12 +72,12 @@
     }
 
     /// An engine of a service has asked for rest.
-    pub fn on_rest(&mut self, now: Timestamp, service: &ServiceName) {
+    pub fn on_backoff(&mut self, now: Timestamp, service: &ServiceName) {
         self.held_until.insert(service.clone(), now + HELD_TO_SLOTS);
     }
 
     /// Whether what is sent to a service is held to its engines' slots.
-    pub fn is_held(&self, now: Timestamp, service: &ServiceName) -> bool {
+    pub fn is_slot_limited(&self, now: Timestamp, service: &ServiceName) -> bool {
         self.held_until.get(service).is_some_and(|until| now < *until)
     }
 
@@ -93,7 +93,7 @@
     }
 
     /// A request no longer needs its slot.
-    pub fn give_back(&mut self, engine: &BackEndName) {
+    pub fn release_slot(&mut self, engine: &BackEndName) {
         if let Some(used) = self.used.get_mut(engine) {
             *used -= 1;
             if *used == 0 {
@@ -114,7 +114,7 @@
 
     /// The router that one key belongs to, present or not: the same one wherever the same routers are known.
     pub fn owner_of(&self, key: u64) -> SocketAddr {
-        let own = (self.own, hash_of(self.own));
+        let own = (self.own, router_hash(self.own));
         let all = self.others.iter().copied().chain([own]);
         let first = all.max_by_key(|(router, hash)| (mix(key ^ hash), *router));
         first.map_or(self.own, |(router, _)| router)
@@ -155,7 +155,7 @@
     fn is_own(&self, now: Timestamp, engine: &BackEndName, slot: u32) -> bool {
         let slot = Digest::of(&[engine.as_str().as_bytes(), &slot.to_le_bytes()]).to_u64();
         let rank = |(router, hash): (SocketAddr, u64)| (mix(slot ^ hash), router);
-        let own = rank((self.own, hash_of(self.own)));
+        let own = rank((self.own, router_hash(self.own)));
         self.present(now).all(|other| rank(*other) < own)
     }
 
@@ -169,6 +169,6 @@
 }
 
 /// What the rank of a router is made of.
-pub(crate) fn hash_of(router: SocketAddr) -> u64 {
+pub(crate) fn router_hash(router: SocketAddr) -> u64 {
     Digest::of(&[router.to_string().as_bytes()]).to_u64()
 }
--- a/crates/gateway-core/src/stated_rates.rs
+++ b/crates/gateway-core/src/stated_rates.rs
@@ -28,7 +28,7 @@
 
 /// What one router tells another of an engine's statement.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RateNews {
+pub struct RateUpdate {
     /// The engine.
     pub engine: BackEndName,
     /// Its rate; `None` if it takes whatever comes.
@@ -93,7 +93,7 @@
 
     /// Takes in what another router has heard. The same rate told again makes a statement no younger: it would age
     /// on its way only.
-    pub fn learn_told(&mut self, now: Timestamp, news: &RateNews) -> Option<RateChange> {
+    pub fn learn_from_peer(&mut self, now: Timestamp, news: &RateUpdate) -> Option<RateChange> {
         let asked_at = Timestamp(now.0.saturating_sub(news.age.0));
         let known = self.known.get(&news.engine).copied();
         let before = known.and_then(|known| known.rate);
@@ -117,38 +117,38 @@
     }
 
     /// What is known of an engine that states a rate or has stated one, for another router.
-    pub fn news_of(&self, now: Timestamp, engine: &BackEndName) -> Option<RateNews> {
+    pub fn update_for(&self, now: Timestamp, engine: &BackEndName) -> Option<RateUpdate> {
         let known = self.known.get(engine)?;
         let age = now.since(known.asked_at);
-        Some(RateNews { engine: engine.clone(), rate: known.rate, age })
+        Some(RateUpdate { engine: engine.clone(), rate: known.rate, age })
     }
 
     /// Other routers are to be told of an engine.
-    pub fn tell(&mut self, engine: &BackEndName) {
+    pub fn schedule_update(&mut self, engine: &BackEndName) {
         if let Some(known) = self.known.get_mut(engine) {
             known.tellings = TELLINGS;
         }
     }
 
     /// What other routers are to be told. Counts as told once more.
-    pub fn take_news(&mut self, now: Timestamp) -> Vec<RateNews> {
+    pub fn take_updates(&mut self, now: Timestamp) -> Vec<RateUpdate> {
         let mut news = Vec::new();
         for (engine, known) in self.known.iter_mut().filter(|(_, known)| known.tellings > 0) {
             known.tellings -= 1;
             let age = now.since(known.asked_at);
-            news.push(RateNews { engine: engine.clone(), rate: known.rate, age });
+            news.push(RateUpdate { engine: engine.clone(), rate: known.rate, age });
         }
         news
     }
 
     /// Statements that no answer has confirmed for long. Counts as compared.
-    pub fn take_old(&mut self, now: Timestamp) -> Vec<RateNews> {
+    pub fn take_stale(&mut self, now: Timestamp) -> Vec<RateUpdate> {
         let is_old = |known: &Known| known.rate.is_some() && now.since(known.compared_at) >= OLD;
         let mut old = Vec::new();
         for (engine, known) in self.known.iter_mut().filter(|(_, known)| is_old(known)) {
             known.compared_at = now;
             let age = now.since(known.asked_at);
-            old.push(RateNews { engine: engine.clone(), rate: known.rate, age });
+            old.push(RateUpdate { engine: engine.clone(), rate: known.rate, age });
         }
         old
     }
--- a/crates/gateway-core/tests/account_owners.rs
+++ b/crates/gateway-core/tests/account_owners.rs
@@ -1,6 +1,6 @@
 //! Which router keeps a zone's account of a tenant.
 
-use stackpost_gateway_core::{AccountOwners, RouterSite};
+use stackpost_gateway_core::{AccountOwners, RouterEndpoint};
 use stackpost_types::{Millis, TenantName, Timestamp, ZoneName};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -10,19 +10,19 @@
 const ROUTERS_PER_ZONE: u8 = 20;
 const TENANTS: usize = 40;
 
-fn site(zone: usize, router: u8) -> RouterSite {
+fn site(zone: usize, router: u8) -> RouterEndpoint {
     let address = ([10, 0, zone as u8, router], 80).into();
-    RouterSite { zone: ZoneName::new(ZONES[zone]), address }
+    RouterEndpoint { zone: ZoneName::new(ZONES[zone]), address }
 }
 
-fn sites() -> BTreeSet<RouterSite> {
+fn endpoints() -> BTreeSet<RouterEndpoint> {
     let zones = 0..ZONES.len();
     zones.flat_map(|zone| (0..ROUTERS_PER_ZONE).map(move |router| site(zone, router))).collect()
 }
 
-fn owners_at(own: &RouterSite, sites: &BTreeSet<RouterSite>) -> AccountOwners {
+fn owners_at(own: &RouterEndpoint, endpoints: &BTreeSet<RouterEndpoint>) -> AccountOwners {
     let mut owners = AccountOwners::default();
-    owners.set_sites(own, sites);
+    owners.set_endpoints(own, endpoints);
     owners
 }
 
@@ -32,9 +32,9 @@
 
 #[test]
 fn one_router_of_each_zone_keeps_the_account_and_all_others_ask_it() {
-    let sites = sites();
-    let views: Vec<(RouterSite, AccountOwners)> =
-        sites.iter().map(|own| (own.clone(), owners_at(own, &sites))).collect();
+    let endpoints = endpoints();
+    let views: Vec<(RouterEndpoint, AccountOwners)> =
+        endpoints.iter().map(|own| (own.clone(), owners_at(own, &endpoints))).collect();
     for tenant in tenants() {
         for zone in ZONES {
             let in_zone = || views.iter().filter(|(own, _)| own.zone.as_str() == zone);
@@ -54,11 +54,11 @@
 
 #[test]
 fn the_accounts_are_spread_over_the_routers() {
-    let sites = sites();
-    let most = sites
+    let endpoints = endpoints();
+    let most = endpoints
         .iter()
         .map(|own| {
-            let view = owners_at(own, &sites);
+            let view = owners_at(own, &endpoints);
             tenants().filter(|tenant| view.is_owner(NOW, tenant)).count()
         })
         .max();
@@ -67,11 +67,12 @@
 
 #[test]
 fn a_router_that_does_not_answer_is_passed_over_for_a_while() {
-    let sites = sites();
+    let endpoints = endpoints();
     for tenant in tenants() {
-        let view = |own: &RouterSite| owners_at(own, &sites);
-        let second = |own: &RouterSite| view(own).lenders_in_zone(NOW, &tenant).get(1).copied();
-        let asker = sites.iter().find(|own| second(own).is_some()).expect("two others are asked");
+        let view = |own: &RouterEndpoint| owners_at(own, &endpoints);
+        let second = |own: &RouterEndpoint| view(own).lenders_in_zone(NOW, &tenant).get(1).copied();
+        let asker =
+            endpoints.iter().find(|own| second(own).is_some()).expect("two others are asked");
         let mut owners = view(asker);
         let asked = owners.lenders_in_zone(NOW, &tenant);
         owners.on_no_answer(NOW, asked[0]);
@@ -93,18 +94,18 @@
 
 #[test]
 fn out_of_touch_the_owner_of_each_other_zone_is_asked() {
-    let sites = sites();
+    let endpoints = endpoints();
     let own = site(1, 3);
-    let view = owners_at(&own, &sites);
+    let view = owners_at(&own, &endpoints);
     for tenant in tenants() {
-        let elsewhere = view.lenders_elsewhere(NOW, &tenant);
+        let elsewhere = view.lenders_in_other_zones(NOW, &tenant);
         let zones: Vec<&str> = elsewhere
             .iter()
-            .map(|lender| sites.iter().find(|site| site.address == *lender).expect("known"))
+            .map(|lender| endpoints.iter().find(|site| site.address == *lender).expect("known"))
             .map(|site| site.zone.as_str())
             .collect();
         assert_eq!(zones, ["west", "east"], "the zone after the own one first");
-        let at_lender = owners_at(&site(2, 0), &sites);
+        let at_lender = owners_at(&site(2, 0), &endpoints);
         let in_west = at_lender.lenders_in_zone(NOW, &tenant).first().copied();
         assert_eq!(in_west.unwrap_or(site(2, 0).address), elsewhere[0], "the owner there");
     }
--- a/crates/gateway-core/tests/hold_off.rs
+++ b/crates/gateway-core/tests/backoff.rs
@@ -37,7 +37,7 @@
         work: None,
         tried: &[],
         has_room: &|_| true,
-        is_repeat: false,
+        is_retry: false,
         tie_breaker: 3,
     };
     picker.pick(now, directory, &query).map(|choice| choice.engine.notice.engine)
@@ -48,17 +48,18 @@
     let (now, service) = (Timestamp(1_000), ServiceName::new("plain"));
     let directory = directory(now);
     let mut picker = EnginePicker::new("hall".into());
-    picker.on_rest(now, &"e1".into(), Millis(3_000));
-    picker.on_rest(now, &"e2".into(), Millis(2_000));
-    assert_eq!(picker.outlook(now, &directory, &service), ServiceOutlook::Open);
+    picker.on_backoff(now, &"e1".into(), Millis(3_000));
+    picker.on_backoff(now, &"e2".into(), Millis(2_000));
+    assert_eq!(picker.availability(now, &directory, &service), ServiceAvailability::Available);
     picker.on_leaving(&"e3".into());
-    let soonest = ServiceOutlook::AllRest { soonest: Millis(2_000), engine: "e2".into() };
-    assert_eq!(picker.outlook(now, &directory, &service), soonest);
+    let soonest =
+        ServiceAvailability::AllBackingOff { soonest: Millis(2_000), engine: "e2".into() };
+    assert_eq!(picker.availability(now, &directory, &service), soonest);
     assert_eq!(pick(&picker, Timestamp(2_999), &directory), None);
     assert_eq!(pick(&picker, Timestamp(3_000), &directory), Some("e2".into()));
     picker.on_leaving(&"e1".into());
     picker.on_leaving(&"e2".into());
-    assert_eq!(picker.outlook(now, &directory, &service), ServiceOutlook::NoEngine);
+    assert_eq!(picker.availability(now, &directory, &service), ServiceAvailability::NoEngine);
 }
 
 #[test]
@@ -67,7 +68,7 @@
     let directory = directory(now);
     let mut picker = EnginePicker::new("hall".into());
     ENGINES.iter().for_each(|engine| {
-        picker.on_rest(now, &BackEndName::new(*engine), Millis(500));
+        picker.on_backoff(now, &BackEndName::new(*engine), Millis(500));
     });
     let after = Timestamp(1_500);
     for _ in ENGINES {
@@ -76,9 +77,9 @@
     }
     assert_eq!(pick(&picker, after, &directory), None, "each has one request");
     // An answer to what was sent before the rest shows nothing; one to a request after it does.
-    picker.on_taken(&"e1".into(), now);
+    picker.on_accepted(&"e1".into(), now);
     assert_eq!(pick(&picker, after, &directory), None);
-    picker.on_taken(&"e1".into(), after);
+    picker.on_accepted(&"e1".into(), after);
     assert_eq!(pick(&picker, after, &directory), Some("e1".into()));
     assert!(pick(&picker, Timestamp(1_600), &directory).is_some(), "the next try of the others");
 }
@@ -88,10 +89,10 @@
     let now = Timestamp(1_000);
     let mut directory = EngineDirectory::default();
     let (first, second) =
-        (BackEndName::of_life("e1", Some(5)), BackEndName::of_life("e1", Some(9)));
+        (BackEndName::of_incarnation("e1", Some(5)), BackEndName::of_incarnation("e1", Some(9)));
     announce(&mut directory, now, first.as_str(), 7);
     let mut picker = EnginePicker::new("hall".into());
-    picker.on_rest(now, &first, Millis(3_000));
+    picker.on_backoff(now, &first, Millis(3_000));
     picker.on_leaving(&first);
     announce(&mut directory, now, first.as_str(), 8);
     assert_eq!(pick(&picker, now, &directory), None, "whatever it announces meanwhile");
@@ -129,11 +130,11 @@
         for event in events {
             match event {
                 Event::Rest(engine, rest) => {
-                    picker.on_rest(now, &ENGINES[engine].into(), Millis(rest));
+                    picker.on_backoff(now, &ENGINES[engine].into(), Millis(rest));
                     ends[engine] = ends[engine].max(now + Millis(rest));
                 }
                 Event::Sent(engine) => picker.on_start(now, &ENGINES[engine].into(), None),
-                Event::Taken(engine) => picker.on_taken(&ENGINES[engine].into(), now),
+                Event::Taken(engine) => picker.on_accepted(&ENGINES[engine].into(), now),
                 Event::Pass(time) => now = now + Millis(time),
             }
             let resting = |engine: usize| ends[engine] > now;
--- a/crates/gateway-core/tests/departures.rs
+++ b/crates/gateway-core/tests/departures.rs
@@ -6,8 +6,8 @@
 
 const NOW: Timestamp = Timestamp(10_000);
 
-fn word(engine: &str, sequence: u64, state: EngineState) -> DepartureWord {
-    DepartureWord { engine: BackEndName::new(engine), state, sequence }
+fn word(engine: &str, sequence: u64, state: EngineState) -> DepartureRecord {
+    DepartureRecord { engine: BackEndName::new(engine), state, sequence }
 }
 
 fn notice(engine: &str, sequence: u64, state: EngineState) -> EngineNotice {
@@ -24,9 +24,9 @@
     }
 }
 
-fn said(words: &[DepartureWord]) -> Departures {
+fn said(records: &[DepartureRecord]) -> Departures {
     let mut departures = Departures::default();
-    departures.apply(DepartureChange::Said(words.to_vec()));
+    departures.apply(DepartureChange::Announced(records.to_vec()));
     departures
 }
 
@@ -57,53 +57,59 @@
         word("e1", 5, EngineState::Ready),
         word("e2", 5, EngineState::Ready),
     ];
-    assert!(!departures.apply(DepartureChange::Said(old.to_vec())));
+    assert!(!departures.apply(DepartureChange::Announced(old.to_vec())));
     assert_eq!(departures.revision(), revision);
-    assert!(departures.apply(DepartureChange::Said(vec![word("e1", 0, EngineState::Gone)])));
+    assert!(departures.apply(DepartureChange::Announced(vec![word("e1", 0, EngineState::Gone)])));
     let late = vec![word("e1", 99, EngineState::Ready)];
-    assert!(!departures.apply(DepartureChange::Said(late)), "what has left stays gone");
+    assert!(!departures.apply(DepartureChange::Announced(late)), "what has left stays gone");
 }
 
 #[test]
 fn the_oldest_words_give_way_and_forgetting_is_a_change() {
     let mut departures = Departures::default();
-    for number in 0..MAX_WORDS + 3 {
-        departures.apply(DepartureChange::Said(vec![word(
+    for number in 0..MAX_DEPARTURES + 3 {
+        departures.apply(DepartureChange::Announced(vec![word(
             &format!("e{number}"),
             1,
             EngineState::Gone,
         )]));
     }
-    assert_eq!(departures.revisions().count(), MAX_WORDS);
+    assert_eq!(departures.revisions().count(), MAX_DEPARTURES);
     assert!(departures.get(&"e2".into()).is_none() && departures.get(&"e3".into()).is_some());
     let revision = departures.revision();
-    assert!(departures.apply(DepartureChange::Forgotten(vec!["e3".into()])));
+    assert!(departures.apply(DepartureChange::Expired(vec!["e3".into()])));
     assert!(departures.revision() > revision && departures.get(&"e3".into()).is_none());
 }
 
 #[test]
 fn a_directory_that_has_not_heard_the_announcement_keeps_to_what_is_written_down() {
-    let mut directory = EngineDirectory::following();
+    let mut directory = EngineDirectory::follower();
     directory.merge(NOW, notice("e1", 5, EngineState::Ready));
-    assert!(directory.depart(NOW, &word("e1", 6, EngineState::Draining)));
-    assert!(!directory.depart(NOW, &word("e1", 6, EngineState::Draining)));
-    assert_eq!(directory.merge(NOW, notice("e1", 4, EngineState::Ready)), Merge::Old);
+    assert!(directory.apply_departure(NOW, &word("e1", 6, EngineState::Draining)));
+    assert!(!directory.apply_departure(NOW, &word("e1", 6, EngineState::Draining)));
+    assert_eq!(directory.merge(NOW, notice("e1", 4, EngineState::Ready)), MergeOutcome::Stale);
     assert_eq!(state_of(&directory, "e1"), Some(EngineState::Draining));
-    assert!(directory.depart(NOW, &word("e1", 0, EngineState::Gone)));
-    assert_eq!(directory.merge(NOW, notice("e1", 9, EngineState::Ready)), Merge::Old);
+    assert!(directory.apply_departure(NOW, &word("e1", 0, EngineState::Gone)));
+    assert_eq!(directory.merge(NOW, notice("e1", 9, EngineState::Ready)), MergeOutcome::Stale);
 }
 
 #[test]
 fn a_directory_that_knows_nobody_keeps_out_who_has_left() {
     let mut directory = EngineDirectory::default();
-    assert!(directory.depart(NOW, &word("e1", 6, EngineState::Draining)));
-    assert!(directory.depart(NOW, &word("e2", 6, EngineState::Gone)));
+    assert!(directory.apply_departure(NOW, &word("e1", 6, EngineState::Draining)));
+    assert!(directory.apply_departure(NOW, &word("e2", 6, EngineState::Gone)));
     for engine in ["e1", "e2"] {
-        assert_eq!(directory.merge(NOW, notice(engine, 5, EngineState::Ready)), Merge::Old);
+        assert_eq!(
+            directory.merge(NOW, notice(engine, 5, EngineState::Ready)),
+            MergeOutcome::Stale
+        );
     }
     // Where the engine is, is learned from its next announcement.
-    assert_eq!(directory.merge(NOW, notice("e1", 7, EngineState::Draining)), Merge::Refreshed);
-    assert_eq!(directory.merge(NOW, notice("e1", 8, EngineState::Ready)), Merge::Changed);
+    assert_eq!(
+        directory.merge(NOW, notice("e1", 7, EngineState::Draining)),
+        MergeOutcome::Refreshed
+    );
+    assert_eq!(directory.merge(NOW, notice("e1", 8, EngineState::Ready)), MergeOutcome::Changed);
     assert_eq!(state_of(&directory, "e1"), Some(EngineState::Ready));
 }
 
@@ -112,7 +118,7 @@
 fn engines_that_are_known_by_name_only_do_not_replace_one_another() {
     let mut directory = EngineDirectory::default();
     for engine in ["e1", "e2"] {
-        directory.depart(NOW, &word(engine, 6, EngineState::Draining));
+        directory.apply_departure(NOW, &word(engine, 6, EngineState::Draining));
     }
     assert_eq!(state_of(&directory, "e1"), Some(EngineState::Draining));
     assert!(directory.notices(NOW).is_empty(), "they are not handed on");
@@ -120,12 +126,15 @@
 
 #[test]
 fn an_engine_that_says_ready_after_draining_is_used_again() {
-    let mut directory = EngineDirectory::following();
+    let mut directory = EngineDirectory::follower();
     directory.merge(NOW, notice("e1", 5, EngineState::Ready));
-    directory.depart(NOW, &word("e1", 6, EngineState::Draining));
-    assert!(directory.depart(NOW, &word("e1", 7, EngineState::Ready)));
+    directory.apply_departure(NOW, &word("e1", 6, EngineState::Draining));
+    assert!(directory.apply_departure(NOW, &word("e1", 7, EngineState::Ready)));
     assert_eq!(state_of(&directory, "e1"), Some(EngineState::Ready));
-    assert!(!directory.depart(NOW, &word("e1", 6, EngineState::Draining)), "told once more");
+    assert!(
+        !directory.apply_departure(NOW, &word("e1", 6, EngineState::Draining)),
+        "told once more"
+    );
     assert_eq!(state_of(&directory, "e1"), Some(EngineState::Ready));
 }
 
@@ -161,7 +170,7 @@
             let state = spoken[index];
             match state {
                 EngineState::Gone => {
-                    processes[process].leave(NOW, &"e1".into());
+                    processes[process].mark_gone(NOW, &"e1".into());
                 }
                 _ => {
                     processes[process].merge(NOW, notice("e1", sequence, state));
@@ -170,26 +179,26 @@
             // Whoever hears of a word has it written down unless it knows a newer one.
             let known = processes[process].get(&"e1".into()).expect("known").notice.sequence;
             if state == EngineState::Gone || known <= sequence {
-                departures.apply(DepartureChange::Said(vec![word("e1", sequence, state)]));
+                departures.apply(DepartureChange::Announced(vec![word("e1", sequence, state)]));
             }
             for directory in &mut processes {
-                for word in departures.since(0).words {
-                    directory.depart(NOW, &word);
+                for word in departures.since(0).records {
+                    directory.apply_departure(NOW, &word);
                 }
             }
         }
         let last = *spoken.last().expect("it says something");
         let mut newcomer = EngineDirectory::default();
-        for word in departures.since(0).words {
-            newcomer.depart(NOW, &word);
+        for word in departures.since(0).records {
+            newcomer.apply_departure(NOW, &word);
         }
-        let takes_work = |directory: &EngineDirectory| {
+        let accepts_requests = |directory: &EngineDirectory| {
             state_of(directory, "e1").is_none_or(|state| state == EngineState::Ready)
         };
-        prop_assert_eq!(takes_work(&processes[0]), last == EngineState::Ready);
+        prop_assert_eq!(accepts_requests(&processes[0]), last == EngineState::Ready);
         for directory in processes[1..].iter().chain([&newcomer]) {
             let may_take_work = last == EngineState::Ready;
-            prop_assert!(!takes_work(directory) || may_take_work, "{:?}", spoken);
+            prop_assert!(!accepts_requests(directory) || may_take_work, "{:?}", spoken);
         }
     }
 }
@@ -198,14 +207,14 @@
 fn a_follower_counts_news_with_a_gap_but_asks_for_what_is_missing() {
     let mut departures = said(&[word("e1", 3, EngineState::Gone)]);
     let mut known = KnownDepartures::default();
-    known.take_in(NOW, &departures.since(0));
-    departures.apply(DepartureChange::Said(vec![word("e2", 3, EngineState::Gone)]));
+    known.merge_delta(NOW, &departures.since(0));
+    departures.apply(DepartureChange::Announced(vec![word("e2", 3, EngineState::Gone)]));
     let before_last = departures.revision();
-    departures.apply(DepartureChange::Said(vec![word("e3", 3, EngineState::Gone)]));
-    known.take_in(NOW, &departures.since(before_last));
+    departures.apply(DepartureChange::Announced(vec![word("e3", 3, EngineState::Gone)]));
+    known.merge_delta(NOW, &departures.since(before_last));
     assert!(known.covers(&word("e3", 3, EngineState::Gone)));
     assert_eq!(known.revision(), 1, "the second word is missing");
-    known.take_in(NOW, &departures.since(known.revision()));
+    known.merge_delta(NOW, &departures.since(known.revision()));
     assert!(known.covers(&word("e2", 3, EngineState::Gone)));
     assert_eq!(known.revision(), departures.revision());
     known.forget_old(NOW + Millis(400_000));
--- a/crates/gateway-core/tests/engine_lives.rs
+++ b/crates/gateway-core/tests/engine_incarnations.rs
@@ -7,17 +7,17 @@
 const ID: &str = "e1";
 const NOW: Timestamp = Timestamp(10_000);
 
-fn life(born: u64) -> BackEndName {
-    BackEndName::of_life(ID, Some(born))
+fn life(started_at_ms: u64) -> BackEndName {
+    BackEndName::of_incarnation(ID, Some(started_at_ms))
 }
 
-fn notice(born: u64, sequence: u64, state: EngineState) -> EngineNotice {
+fn notice(started_at_ms: u64, sequence: u64, state: EngineState) -> EngineNotice {
     EngineNotice {
-        engine: life(born),
+        engine: life(started_at_ms),
         sequence,
         service: "models".into(),
         // The address may be another one after a restart.
-        address: ([10, 0, 0, (born % 200) as u8], 80).into(),
+        address: ([10, 0, 0, (started_at_ms % 200) as u8], 80).into(),
         zone: "hall".into(),
         slots: 64,
         state,
@@ -33,16 +33,16 @@
 
 #[test]
 fn a_life_is_named_by_id_and_start() {
-    assert_eq!((life(7).id(), life(7).born()), (ID, 7));
-    let without = BackEndName::of_life(ID, None);
-    assert_eq!((without.as_str(), without.id(), without.born()), (ID, ID, 0));
+    assert_eq!((life(7).id(), life(7).started_at_ms()), (ID, 7));
+    let without = BackEndName::of_incarnation(ID, None);
+    assert_eq!((without.as_str(), without.id(), without.started_at_ms()), (ID, ID, 0));
 }
 
 #[test]
 fn a_restarted_engine_is_heard_at_once_though_its_count_begins_anew() {
     let mut directory = EngineDirectory::default();
     directory.merge(NOW, notice(1, 90, EngineState::Ready));
-    assert_eq!(directory.merge(NOW, notice(2, 1, EngineState::Ready)), Merge::Changed);
+    assert_eq!(directory.merge(NOW, notice(2, 1, EngineState::Ready)), MergeOutcome::Changed);
     assert_eq!(ready(&directory), [&life(2)]);
 }
 
@@ -50,8 +50,8 @@
 fn a_restarted_engine_comes_back_after_it_had_left() {
     let mut directory = EngineDirectory::default();
     directory.merge(NOW, notice(1, 90, EngineState::Ready));
-    directory.leave(NOW, &life(1));
-    assert_eq!(directory.merge(NOW, notice(2, 1, EngineState::Ready)), Merge::Changed);
+    directory.mark_gone(NOW, &life(1));
+    assert_eq!(directory.merge(NOW, notice(2, 1, EngineState::Ready)), MergeOutcome::Changed);
     assert_eq!(ready(&directory), [&life(2)]);
 }
 
@@ -65,7 +65,7 @@
             assert_eq!(ready(&directory), [&life(2)], "{state:?} {sequence}");
         }
     }
-    directory.leave(NOW, &life(1));
+    directory.mark_gone(NOW, &life(1));
     assert_eq!(ready(&directory), [&life(2)]);
 }
 
@@ -73,12 +73,12 @@
 fn an_id_without_a_start_is_the_oldest_life() {
     let mut directory = EngineDirectory::default();
     let without = EngineNotice {
-        engine: BackEndName::of_life(ID, None),
+        engine: BackEndName::of_incarnation(ID, None),
         ..notice(1, 90, EngineState::Ready)
     };
     directory.merge(NOW, without.clone());
     directory.merge(NOW, notice(3, 1, EngineState::Ready));
-    assert_eq!(directory.merge(NOW, EngineNotice { sequence: 91, ..without }), Merge::Old);
+    assert_eq!(directory.merge(NOW, EngineNotice { sequence: 91, ..without }), MergeOutcome::Stale);
     assert_eq!(ready(&directory), [&life(3)]);
 }
 
@@ -86,9 +86,9 @@
 fn an_id_that_begins_like_another_is_another_engine() {
     let mut directory = EngineDirectory::default();
     directory.merge(NOW, notice(9, 1, EngineState::Ready));
-    let other = BackEndName::of_life("e10", Some(1));
+    let other = BackEndName::of_incarnation("e10", Some(1));
     let other = EngineNotice { engine: other.clone(), ..notice(1, 1, EngineState::Ready) };
-    assert_eq!(directory.merge(NOW, other), Merge::Changed);
+    assert_eq!(directory.merge(NOW, other), MergeOutcome::Changed);
     assert_eq!(ready(&directory).len(), 2);
 }
 
@@ -98,10 +98,10 @@
     let mut directory = EngineDirectory::default();
     directory.merge(NOW, notice(1, 90, EngineState::Ready));
     directory.merge(NOW + Millis(3_000), notice(2, 1, EngineState::Ready));
-    assert_eq!(directory.life_that_leaves(NOW + Millis(4_000), ID), life(1));
-    assert_eq!(directory.life_that_leaves(NOW + Millis(60_000), ID), life(2));
-    let unknown = directory.life_that_leaves(NOW, "e7");
-    assert_eq!(unknown, BackEndName::of_life("e7", None));
+    assert_eq!(directory.departing_incarnation(NOW + Millis(4_000), ID), life(1));
+    assert_eq!(directory.departing_incarnation(NOW + Millis(60_000), ID), life(2));
+    let unknown = directory.departing_incarnation(NOW, "e7");
+    assert_eq!(unknown, BackEndName::of_incarnation("e7", None));
 }
 
 /// A process that has just started knows lives from others, which have known them for long.
@@ -115,7 +115,7 @@
     for told in directory.notices(later) {
         newcomer.merge(Timestamp::PROCESS_START, told);
     }
-    assert_eq!(newcomer.life_that_leaves(Timestamp::PROCESS_START + Millis(50), ID), life(2));
+    assert_eq!(newcomer.departing_incarnation(Timestamp::PROCESS_START + Millis(50), ID), life(2));
 }
 
 #[test]
@@ -144,13 +144,13 @@
         let states = [EngineState::Ready, EngineState::Draining];
         let notices: Vec<EngineNotice> = heard
             .iter()
-            .map(|(born, sequence, state, _)| notice(*born, *sequence, states[*state]))
+            .map(|(started_at_ms, sequence, state, _)| notice(*started_at_ms, *sequence, states[*state]))
             .collect();
-        let newest = notices.iter().map(|notice| notice.engine.born()).max().expect("some");
+        let newest = notices.iter().map(|notice| notice.engine.started_at_ms()).max().expect("some");
         let mut control = [(); 3].map(|()| EngineDirectory::default());
-        let mut router = EngineDirectory::following();
+        let mut router = EngineDirectory::follower();
         for (notice, (_, _, _, at)) in notices.iter().zip(&heard) {
-            if control[*at].merge(NOW, notice.clone()) == Merge::Changed {
+            if control[*at].merge(NOW, notice.clone()) == MergeOutcome::Changed {
                 router.merge(NOW, notice.clone());
             }
         }
@@ -158,7 +158,7 @@
         for index in order.iter().chain(&(0..40).collect::<Vec<_>>()) {
             if let Some(notice) = notices.get(*index) {
                 for directory in &mut control {
-                    if directory.merge(NOW, notice.clone()) == Merge::Changed {
+                    if directory.merge(NOW, notice.clone()) == MergeOutcome::Changed {
                         router.merge(NOW, notice.clone());
                     }
                 }
@@ -168,7 +168,7 @@
             let alive: Vec<u64> = directory
                 .iter()
                 .filter(|record| record.notice.state != EngineState::Gone)
-                .map(|record| record.notice.engine.born())
+                .map(|record| record.notice.engine.started_at_ms())
                 .collect();
             prop_assert_eq!(alive, vec![newest]);
         }
--- a/crates/gateway-core/tests/engine_permits.rs
+++ b/crates/gateway-core/tests/engine_permits.rs
@@ -38,8 +38,8 @@
     directory.get(&name).expect("it is known").clone()
 }
 
-fn limited(in_thousand_seconds: u32) -> RateStatement {
-    RateStatement::Limited(RequestRate::per_thousand_seconds(in_thousand_seconds))
+fn limited(milli_rps: u32) -> RateStatement {
+    RateStatement::Limited(RequestRate::from_milli_rps(milli_rps))
 }
 
 fn others(routers: usize, own: usize) -> Vec<SocketAddr> {
@@ -130,7 +130,7 @@
     assert_eq!(late, None, "an answer that was overtaken");
     let unreadable = permits.learn(now, name, Timestamp(6_000), RateStatement::Unknown);
     assert_eq!(unreadable, None);
-    assert_eq!(permits.rates().rate(name), Some(RequestRate::per_thousand_seconds(2_000)));
+    assert_eq!(permits.rates().rate(name), Some(RequestRate::from_milli_rps(2_000)));
     assert!(permits.learn(now, name, Timestamp(6_000), RateStatement::Unlimited).is_some());
     assert!(permits.has_room(now, &engine, PermitScope::Rate), "back in full at once");
     let overtaken = permits.learn(now, name, Timestamp(5_500), limited(2_000));
@@ -144,13 +144,13 @@
     let mut teller = views(1).remove(0);
     let mut told = views(1).remove(0);
     teller.learn(Timestamp(5_000), name, Timestamp(5_000), limited(2_000));
-    let news = teller.rates_mut().take_news(Timestamp(5_200)).remove(0);
+    let news = teller.rates_mut().take_updates(Timestamp(5_200)).remove(0);
     assert_eq!(news.age, Millis(200));
-    assert!(told.learn_told(Timestamp(90_000), &news).is_some(), "its clock is its own");
-    assert_eq!(told.learn_told(Timestamp(90_001), &news), None, "told twice");
+    assert!(told.learn_from_peer(Timestamp(90_000), &news).is_some(), "its clock is its own");
+    assert_eq!(told.learn_from_peer(Timestamp(90_001), &news), None, "told twice");
     let newer = told.learn(Timestamp(90_300), name, Timestamp(90_250), RateStatement::Unlimited);
     assert!(newer.is_some());
-    assert_eq!(told.learn_told(Timestamp(90_400), &news), None, "older than what is known");
+    assert_eq!(told.learn_from_peer(Timestamp(90_400), &news), None, "older than what is known");
 }
 
 #[test]
@@ -159,23 +159,23 @@
     let mut permits = views(2).remove(0);
     let begun = Timestamp(1_000);
     permits.learn(begun, &engine.notice.engine, begun, limited(2_000));
-    let told = (0..5).filter(|_| !permits.rates_mut().take_news(begun).is_empty());
+    let told = (0..5).filter(|_| !permits.rates_mut().take_updates(begun).is_empty());
     assert_eq!(told.count(), 2);
-    assert!(permits.rates_mut().take_old(Timestamp(10_999)).is_empty());
-    assert_eq!(permits.rates_mut().take_old(Timestamp(11_000)).len(), 1);
-    assert!(permits.rates_mut().take_old(Timestamp(11_001)).is_empty());
+    assert!(permits.rates_mut().take_stale(Timestamp(10_999)).is_empty());
+    assert_eq!(permits.rates_mut().take_stale(Timestamp(11_000)).len(), 1);
+    assert!(permits.rates_mut().take_stale(Timestamp(11_001)).is_empty());
 }
 
 #[test]
 fn an_engine_that_takes_nothing_is_asked_again_now_and_then() {
     let engine = record(1);
-    for (in_thousand_seconds, least, most) in [(0, 14, 15), (100, 5, 6), (40_000, 2_390, 2_412)] {
+    for (milli_rps, least, most) in [(0, 14, 15), (100, 5, 6), (40_000, 2_390, 2_412)] {
         let mut permits = views(1).remove(0);
-        let statement = limited(in_thousand_seconds);
+        let statement = limited(milli_rps);
         permits.learn(Timestamp(0), &engine.notice.engine, Timestamp(0), statement);
         let asked = (0..60_000).filter(|now| try_take(&mut permits, Timestamp(*now), &engine));
         let asked = asked.count();
-        assert!((least..=most).contains(&asked), "{asked} in a minute at {in_thousand_seconds}");
+        assert!((least..=most).contains(&asked), "{asked} in a minute at {milli_rps}");
     }
 }
 
@@ -194,7 +194,7 @@
     let now = Timestamp(2_000);
     assert!(!permits.has_room(now, &engine, PermitScope::RateAndSlot), "all slots are in use");
     assert!(permits.has_room(now, &engine, PermitScope::Rate));
-    permits.slots().give_back(&name);
+    permits.slots().release_slot(&name);
     assert!(permits.has_room(now, &engine, PermitScope::RateAndSlot));
 }
 
@@ -203,14 +203,18 @@
     let engines = [record(1), record(2)];
     let mut permits = views(1).remove(0);
     let now = Timestamp(1_000);
-    let outlook = |permits: &mut EnginePermits, now| permits.outlook(now, engines.iter());
+    let availability = |permits: &mut EnginePermits, now| permits.availability(now, engines.iter());
     permits.learn(now, &engines[0].notice.engine, now, limited(500));
-    assert_eq!(outlook(&mut permits, now), PermitOutlook::Unlimited, "the other states no rate");
+    assert_eq!(
+        availability(&mut permits, now),
+        PermitAvailability::Unlimited,
+        "the other states no rate"
+    );
     permits.learn(now, &engines[1].notice.engine, now, limited(1_000));
     let first = engines[1].notice.engine.clone();
-    let spent = PermitOutlook::Spent { soonest: Millis(1_001), engine: first };
-    assert_eq!(outlook(&mut permits, now), spent);
-    assert_eq!(outlook(&mut permits, Timestamp(2_001)), PermitOutlook::Available);
+    let spent = PermitAvailability::Spent { soonest: Millis(1_001), engine: first };
+    assert_eq!(availability(&mut permits, now), spent);
+    assert_eq!(availability(&mut permits, Timestamp(2_001)), PermitAvailability::Available);
 }
 
 #[test]
@@ -252,13 +256,13 @@
     let name = &engine.notice.engine;
     let mut permits = views(6).remove(0);
     let counting = |permits: &mut EnginePermits| {
-        (1..6).filter(|lender| permits.counts_from(address(*lender), name)).count()
+        (1..6).filter(|lender| permits.accepts_permit_from(address(*lender), name)).count()
     };
     assert_eq!(counting(&mut permits), 5, "it states no rate");
     permits.learn(Timestamp(0), name, Timestamp(0), limited(1_000));
     let owner = permits.owner(name).expect("the routers are known");
     assert_eq!(counting(&mut permits), usize::from(owner != address(0)));
-    assert!(permits.counts_from(owner, name));
+    assert!(permits.accepts_permit_from(owner, name));
 }
 
 /// Something that happens to a fleet of routers.
@@ -291,13 +295,13 @@
     /// differ for no longer than a second. Once they agree, whoever is there gets a permit in time.
     #[test]
     fn the_fleet_sends_no_more_than_is_stated(
-        in_thousand_seconds in 100_u32..20_000,
+        milli_rps in 100_u32..20_000,
         happenings in prop::collection::vec(happening(6), 1..1_500),
     ) {
         const ROUTERS: usize = 6;
         let engine = record(1);
         let name = &engine.notice.engine;
-        let statement = limited(in_thousand_seconds);
+        let statement = limited(milli_rps);
         let mut now = 1_000;
         let mut views = views(ROUTERS);
         let mut gone = [false; ROUTERS];
@@ -338,7 +342,7 @@
                 }
             }
         }
-        let allowed = 6 * u64::from(in_thousand_seconds) / 1_000 + 5;
+        let allowed = 6 * u64::from(milli_rps) / 1_000 + 5;
         for (index, begin) in sent.iter().enumerate() {
             let within = sent[index..].iter().take_while(|at| **at < begin + 4_000).count() as u64;
             prop_assert!(within <= allowed, "{} in a window, {} allowed", within, allowed);
--- a/crates/gateway-core/tests/engines.rs
+++ b/crates/gateway-core/tests/engines.rs
@@ -39,7 +39,7 @@
         work: None,
         tried,
         has_room: &|_| true,
-        is_repeat: false,
+        is_retry: false,
         tie_breaker: 3,
     };
     picker.pick(now, directory, &query).map(|choice| choice.engine.notice.engine.to_string())
@@ -49,18 +49,18 @@
 fn late_notices_change_nothing_and_the_gone_never_come_back() {
     let now = Timestamp(1_000);
     let mut directory = directory(now, &["e1"]);
-    assert_eq!(directory.merge(now, notice("e1", 5, EngineState::Draining)), Merge::Changed);
-    assert_eq!(directory.merge(now, notice("e1", 4, EngineState::Ready)), Merge::Old);
-    directory.leave(now, &BackEndName::new("e1"));
-    assert_eq!(directory.merge(now, notice("e1", 9, EngineState::Ready)), Merge::Old);
+    assert_eq!(directory.merge(now, notice("e1", 5, EngineState::Draining)), MergeOutcome::Changed);
+    assert_eq!(directory.merge(now, notice("e1", 4, EngineState::Ready)), MergeOutcome::Stale);
+    directory.mark_gone(now, &BackEndName::new("e1"));
+    assert_eq!(directory.merge(now, notice("e1", 9, EngineState::Ready)), MergeOutcome::Stale);
 }
 
 #[test]
 fn a_farewell_of_an_unknown_engine_is_remembered() {
     let now = Timestamp(1_000);
     let mut directory = EngineDirectory::default();
-    directory.leave(now, &BackEndName::new("e1"));
-    assert_eq!(directory.merge(now, notice("e1", 1, EngineState::Ready)), Merge::Old);
+    directory.mark_gone(now, &BackEndName::new("e1"));
+    assert_eq!(directory.merge(now, notice("e1", 1, EngineState::Ready)), MergeOutcome::Stale);
 }
 
 #[test]
@@ -86,9 +86,9 @@
     let late = EngineNotice { engine: "f9".into(), ..notice("e1", 70, EngineState::Ready) };
     directory.merge(Timestamp(1_000), successor(1));
     directory.merge(Timestamp(2_200), successor(2));
-    assert_eq!(directory.merge(Timestamp(2_500), late), Merge::Changed);
-    assert_eq!(directory.merge(Timestamp(3_400), successor(3)), Merge::Old);
-    assert_eq!(directory.merge(Timestamp(4_600), successor(4)), Merge::Changed);
+    assert_eq!(directory.merge(Timestamp(2_500), late), MergeOutcome::Changed);
+    assert_eq!(directory.merge(Timestamp(3_400), successor(3)), MergeOutcome::Stale);
+    assert_eq!(directory.merge(Timestamp(4_600), successor(4)), MergeOutcome::Changed);
     assert_eq!(state_of(&directory, "e1"), EngineState::Ready);
     assert_eq!(state_of(&directory, "f9"), EngineState::Gone);
 }
@@ -106,8 +106,8 @@
     for round in 1..6 {
         let now = Timestamp(2_000 + round * 1_200);
         let late = notice("e1", 1 + round, EngineState::Ready);
-        assert_eq!(directory.merge(now, late), Merge::Old);
-        assert_eq!(directory.merge(now, successor(1 + round)), Merge::Refreshed);
+        assert_eq!(directory.merge(now, late), MergeOutcome::Stale);
+        assert_eq!(directory.merge(now, successor(1 + round)), MergeOutcome::Refreshed);
     }
     assert_eq!(state_of(&directory, "f9"), EngineState::Ready);
 }
@@ -124,23 +124,26 @@
         directory.notices(Timestamp(2_000)).iter().map(|one| one.engine.to_string()).collect();
     assert_eq!(told, ["f9"]);
     // A router hears of changes only, so one newer word is enough for it.
-    let mut follower = EngineDirectory::following();
+    let mut follower = EngineDirectory::follower();
     follower.merge(Timestamp(1_000), notice("e1", 1, EngineState::Ready));
     follower.merge(Timestamp(2_000), late);
     assert_eq!(
         follower.merge(Timestamp(4_600), notice("e1", 4, EngineState::Ready)),
-        Merge::Changed
+        MergeOutcome::Changed
     );
     assert_eq!(state_of(&follower, "f9"), EngineState::Gone);
     // What a replica says that was cut off and has not heard of the successor is older.
     let stale = EngineNotice { age: Millis(3_000), ..notice("e1", 5, EngineState::Ready) };
     let successor = EngineNotice { engine: "h7".into(), ..notice("e1", 1, EngineState::Ready) };
     follower.merge(Timestamp(5_000), successor);
-    assert_eq!(follower.merge(Timestamp(5_500), stale), Merge::Old);
+    assert_eq!(follower.merge(Timestamp(5_500), stale), MergeOutcome::Stale);
     assert_eq!(state_of(&follower, "h7"), EngineState::Ready);
     // What has left by its own word stays gone.
-    follower.leave(Timestamp(5_000), &BackEndName::new("e1"));
-    assert_eq!(follower.merge(Timestamp(6_000), notice("e1", 9, EngineState::Ready)), Merge::Old);
+    follower.mark_gone(Timestamp(5_000), &BackEndName::new("e1"));
+    assert_eq!(
+        follower.merge(Timestamp(6_000), notice("e1", 9, EngineState::Ready)),
+        MergeOutcome::Stale
+    );
 }
 
 #[test]
@@ -158,14 +161,14 @@
     let now = Timestamp(1_000);
     let picker = EnginePicker::new("jetty".into());
     let leaves = [
-        DepartureWord { engine: "e1".into(), state: EngineState::Gone, sequence: 0 },
-        DepartureWord { engine: "e1".into(), state: EngineState::Draining, sequence: 2 },
+        DepartureRecord { engine: "e1".into(), state: EngineState::Gone, sequence: 0 },
+        DepartureRecord { engine: "e1".into(), state: EngineState::Draining, sequence: 2 },
     ];
     for word in leaves {
         let mut directory = directory(now, &["e1"]);
         assert_eq!(pick(&picker, now, &directory, None, &[]).as_deref(), Some("e1"));
         assert!(picker.may_send(now, &directory, &"e1".into()));
-        directory.depart(now, &word);
+        directory.apply_departure(now, &word);
         assert!(!picker.may_send(now, &directory, &"e1".into()), "{word:?}");
     }
     assert!(!picker.may_send(now, &directory(now, &[]), &"e1".into()), "it is forgotten");
@@ -239,11 +242,11 @@
     let now = start + Millis(6_000);
     directory.merge(now, notice("e2", 2, EngineState::Ready));
     assert_eq!(directory.silent_engines(now), [BackEndName::new("e1")].into());
-    assert!(directory.give_up(now).is_empty());
+    assert!(directory.evict_silent(now).is_empty());
     let late = start + Millis(185_500);
-    assert_eq!(directory.give_up(late), vec![BackEndName::new("e1")]);
+    assert_eq!(directory.evict_silent(late), vec![BackEndName::new("e1")]);
     directory.forget_old(late);
-    assert!(!directory.takes_work(&"e1".into()), "it is gone");
+    assert!(!directory.accepts_requests(&"e1".into()), "it is gone");
     assert!(directory.get(&BackEndName::new("e2")).is_some(), "only the gone are forgotten");
 }
 
@@ -252,16 +255,19 @@
     let start = Timestamp(1_000);
     let later = start + Millis(200_000);
     let mut control = directory(start, &["e1"]);
-    let mut router = EngineDirectory::following();
+    let mut router = EngineDirectory::follower();
     router.merge(start, notice("e1", 1, EngineState::Ready));
-    control.give_up(later).iter().for_each(|engine| router.forget(engine));
+    control.evict_silent(later).iter().for_each(|engine| router.forget(engine));
     for directory in [&mut control, &mut router] {
-        assert_eq!(directory.merge(later, notice("e1", 2, EngineState::Ready)), Merge::Changed);
+        assert_eq!(
+            directory.merge(later, notice("e1", 2, EngineState::Ready)),
+            MergeOutcome::Changed
+        );
     }
     // One that has left by its own word is not.
-    router.leave(later, &"e1".into());
+    router.mark_gone(later, &"e1".into());
     router.forget(&"e1".into());
-    assert_eq!(router.merge(later, notice("e1", 3, EngineState::Ready)), Merge::Old);
+    assert_eq!(router.merge(later, notice("e1", 3, EngineState::Ready)), MergeOutcome::Stale);
 }
 
 #[test]
--- a/crates/gateway-core/tests/limits.rs
+++ b/crates/gateway-core/tests/limits.rs
@@ -29,7 +29,7 @@
             if !repeat {
                 routers[router].note_request(Timestamp(now), &service);
                 requests.push(now);
-            } else if routers[router].try_repeat(Timestamp(now), &service) {
+            } else if routers[router].try_retry(Timestamp(now), &service) {
                 repeats.push(now);
             }
             let from = now.saturating_sub(LIMITS.window.0);
@@ -75,5 +75,5 @@
     let mut budget = RetryBudget::new(LIMITS, 6);
     budget.set_routers(60);
     budget.set_routers(1);
-    assert!(!budget.try_repeat(Timestamp(1_000), &service), "a 60th of 52 is less than one");
+    assert!(!budget.try_retry(Timestamp(1_000), &service), "a 60th of 52 is less than one");
 }
--- a/crates/gateway-core/tests/load_shedding.rs
+++ b/crates/gateway-core/tests/load_shedding.rs
@@ -15,8 +15,8 @@
 /// Requests of these classes, so many a second each, for twenty seconds before engines that take `rate` a second in all.
 /// Returns how many of each got a permit a second in the second half.
 fn play(classes: &[(RequestClass, u64)], rate: u32) -> BTreeMap<RequestClass, f64> {
-    let mut shedding = LoadShedding::default();
-    let owned = RequestRate::per_thousand_seconds(rate * 1_000);
+    let mut shedding = LoadShedder::default();
+    let owned = RequestRate::from_milli_rps(rate * 1_000);
     let (mut level, mut got, mut lot) = (0.0_f64, BTreeMap::new(), 0_u64);
     for step in 0..20_000 {
         let now = Timestamp(1_000 + step);
@@ -30,7 +30,7 @@
                 continue;
             }
             if level < 1.0 {
-                shedding.on_short(now, &service());
+                shedding.on_no_permit(now, &service());
                 continue;
             }
             level -= 1.0;
@@ -66,7 +66,7 @@
 
 #[test]
 fn nobody_is_shed_while_there_are_permits() {
-    let mut shedding = LoadShedding::default();
+    let mut shedding = LoadShedder::default();
     for step in 0..5_000 {
         let owned = RequestRate::ZERO;
         assert!(shedding.admits(Timestamp(step), &service(), &class(3, "a"), owned, u64::MAX));
@@ -75,13 +75,13 @@
 
 #[test]
 fn callers_return_at_the_pace_at_which_permits_come() {
-    let mut shedding = LoadShedding::default();
-    let owned = RequestRate::per_thousand_seconds(10_000);
+    let mut shedding = LoadShedder::default();
+    let owned = RequestRate::from_milli_rps(10_000);
     for now in [1_000, 2_000] {
         shedding.admits(Timestamp(now), &service(), &class(1, "a"), owned, 0);
     }
     let now = Timestamp(2_000);
-    let mut told = |lot| shedding.return_after(now, &service(), Millis(50), Millis(1_000), lot).0;
+    let mut told = |lot| shedding.retry_delay(now, &service(), Millis(50), Millis(1_000), lot).0;
     let first: Vec<u64> = (0..10).map(&mut told).collect();
     assert_eq!(first, [50, 150, 250, 350, 450, 550, 650, 750, 850, 950]);
     let late: Vec<u64> = (0..500).map(|lot| told(lot * 7)).collect();
@@ -90,11 +90,11 @@
 
 #[test]
 fn a_caller_that_has_no_time_is_not_told_to_stay_away_longer() {
-    let mut shedding = LoadShedding::default();
+    let mut shedding = LoadShedder::default();
     let owned = RequestRate::ZERO;
     shedding.admits(Timestamp(1_000), &service(), &class(1, "a"), owned, 0);
-    let told = shedding.return_after(Timestamp(1_000), &service(), Millis(900), Millis(0), 5);
+    let told = shedding.retry_delay(Timestamp(1_000), &service(), Millis(900), Millis(0), 5);
     assert_eq!(told, Millis(0));
-    let told = shedding.return_after(Timestamp(1_000), &service(), Millis(900), Millis(100), 5);
+    let told = shedding.retry_delay(Timestamp(1_000), &service(), Millis(900), Millis(100), 5);
     assert!(told <= Millis(100));
 }
--- a/crates/gateway-core/tests/placement.rs
+++ b/crates/gateway-core/tests/placement.rs
@@ -24,8 +24,8 @@
     directory
 }
 
-fn work(shared: u64, own: u64) -> Work {
-    Work {
+fn work(shared: u64, own: u64) -> GenerationWork {
+    GenerationWork {
         shared: Tokens(shared),
         own: Tokens(own),
         objective: Millis(500),
@@ -38,8 +38,8 @@
     now: Timestamp,
     directory: &EngineDirectory,
     subject: u64,
-    work: Work,
-) -> Choice {
+    work: GenerationWork,
+) -> EngineChoice {
     let service = ServiceName::new("models");
     let query = PickQuery {
         service: &service,
@@ -47,7 +47,7 @@
         work: Some(work),
         tried: &[],
         has_room: &|_| true,
-        is_repeat: false,
+        is_retry: false,
         tie_breaker: subject,
     };
     picker.pick(now, directory, &query).expect("there are engines")
@@ -58,14 +58,14 @@
     now: Timestamp,
     directory: &EngineDirectory,
     subject: u64,
-    work: Work,
-) -> Choice {
+    work: GenerationWork,
+) -> EngineChoice {
     let choice = pick(picker, now, directory, subject, work);
     picker.on_start(now, &choice.engine.notice.engine, choice.placement.as_ref());
     choice
 }
 
-fn name(choice: &Choice) -> &str {
+fn name(choice: &EngineChoice) -> &str {
     choice.engine.notice.engine.as_str()
 }
 
@@ -86,8 +86,8 @@
     let mut picker = EnginePicker::new("hall".into());
     let home = pick(&picker, START, &directory, 7, work(100, 300));
     let engine = home.engine.notice.engine.clone();
-    let long = EngineNews { to_read: 60_000, ..EngineNews::default() };
-    picker.on_news(START, 1, engine.clone(), &long);
+    let long = EngineLoadUpdate { to_read: 60_000, ..EngineLoadUpdate::default() };
+    picker.on_peer_update(START, 1, engine.clone(), &long);
     let moved = pick(&picker, START, &directory, 7, work(100, 300));
     assert_ne!(moved.engine.notice.engine, engine);
     let later = START + Millis(30_000);
@@ -100,8 +100,8 @@
     let directory = directory(&["e1", "e2", "e3"]);
     let mut picker = EnginePicker::new("hall".into());
     for engine in ["e1", "e3"] {
-        let busy = EngineNews { running: 12.0, ..EngineNews::default() };
-        picker.on_news(START, 1, BackEndName::new(engine), &busy);
+        let busy = EngineLoadUpdate { running: 12.0, ..EngineLoadUpdate::default() };
+        picker.on_peer_update(START, 1, BackEndName::new(engine), &busy);
     }
     for subject in 0..20 {
         let choice = pick(&picker, START, &directory, subject, work(0, 45_000));
@@ -130,7 +130,7 @@
     let mut now = START;
     let mut read = |load: &mut EngineLoad, took: u64| {
         let estimate = load.estimate(now, None, &job, false);
-        let sent = Placement { work: job, subject: None, estimate, harm: Harm::default() };
+        let sent = Placement { work: job, subject: None, estimate, cost: PlacementCost::default() };
         load.on_sent(now, None, &sent);
         now = now + Millis(took);
         load.on_first_event(now, None, &estimate, Millis(took));
@@ -140,10 +140,10 @@
     for _ in 0..60 {
         read(&mut load, 230);
     }
-    let learned = load.speed(None);
+    let learned = load.prefill_speed(None);
     assert!((85.0..115.0).contains(&learned), "20,000 tokens in 200 ms: {learned}");
     read(&mut load, 32);
-    assert!(load.speed(None) < learned * 1.1, "a prompt that was kept after all");
+    assert!(load.prefill_speed(None) < learned * 1.1, "a prompt that was kept after all");
 }
 
 #[test]
@@ -151,7 +151,7 @@
     let mut load = EngineLoad::default();
     let job = work(0, 30_000);
     let estimate = load.estimate(START, None, &job, false);
-    let sent = Placement { work: job, subject: None, estimate, harm: Harm::default() };
+    let sent = Placement { work: job, subject: None, estimate, cost: PlacementCost::default() };
     load.on_sent(START, None, &sent);
     assert!(load.to_read(START + Millis(5_000), None) >= 30_000.0, "its first event has not come");
     load.on_first_event(START + Millis(5_000), None, &estimate, Millis(5_000));
@@ -164,24 +164,24 @@
     let mut picker = EnginePicker::new("hall".into());
     let sent = send(&mut picker, START, &directory, 7, work(4_000, 1_000));
     let engine = sent.engine.notice.engine.clone();
-    assert!(picker.untold(&engine) >= Tokens(1_000));
-    let news = picker.take_news(false);
+    assert!(picker.unreported(&engine) >= Tokens(1_000));
+    let news = picker.take_updates(false);
     assert_eq!(news.len(), 1);
-    assert_eq!(news[0].1.parts, vec![7]);
+    assert_eq!(news[0].1.prefixes, vec![7]);
     assert!(news[0].1.running > 0.0);
-    assert_eq!(picker.untold(&engine), Tokens::ZERO);
-    assert!(picker.take_news(true).is_empty(), "nothing that is urgent");
-    assert_eq!(picker.take_news(false)[0].1.to_read, 0, "told before");
+    assert_eq!(picker.unreported(&engine), Tokens::ZERO);
+    assert!(picker.take_updates(true).is_empty(), "nothing that is urgent");
+    assert_eq!(picker.take_updates(false)[0].1.to_read, 0, "told before");
     picker.on_end(START, &sent.engine, sent.placement.as_ref(), AttemptEnd::Answered);
-    assert_eq!(picker.take_news(false)[0].1.running, 0.0);
-    assert!(picker.take_news(false).is_empty(), "there is nothing more to say");
+    assert_eq!(picker.take_updates(false)[0].1.running, 0.0);
+    assert!(picker.take_updates(false).is_empty(), "there is nothing more to say");
 }
 
 #[test]
 fn the_word_of_a_router_that_is_gone_is_forgotten() {
     let mut load = EngineLoad::default();
-    let news = EngineNews { running: 9.0, ..EngineNews::default() };
-    load.on_news(START, None, 1, &news);
+    let news = EngineLoadUpdate { running: 9.0, ..EngineLoadUpdate::default() };
+    load.on_peer_update(START, None, 1, &news);
     assert_eq!(load.running(START + Millis(1_000)), 9.0);
     assert_eq!(load.running(START + Millis(4_500)), 0.0);
 }
@@ -193,9 +193,9 @@
     let mut teller = EnginePicker::new("hall".into());
     let choice = pick(&teller, START, &directory(&["e1"]), 1, work(0, 1_000));
     teller.on_start(START, &choice.engine.notice.engine, choice.placement.as_ref());
-    let (_, news) = teller.take_news(false).pop().expect("something to tell");
+    let (_, news) = teller.take_updates(false).pop().expect("something to tell");
     for number in 0..10_000 {
-        picker.on_news(START, 7, BackEndName::new(format!("x{number}")), &news);
+        picker.on_peer_update(START, 7, BackEndName::new(format!("x{number}")), &news);
     }
     let kept = (0..10_000).filter(|number| {
         let engine = BackEndName::new(format!("x{number}"));
--- a/crates/gateway-core/tests/router_lists.rs
+++ b/crates/gateway-core/tests/router_lists.rs
@@ -1,6 +1,6 @@
 //! Which routers a router takes for there, while control processes come and go.
 
-use stackpost_gateway_core::{RouterLists, RouterSite, ZoneRouters};
+use stackpost_gateway_core::{RouterEndpoint, RouterLists, ZoneRouters};
 use stackpost_types::{Timestamp, ZoneName};
 use std::net::SocketAddr;
 
@@ -8,8 +8,8 @@
     ([10, 0, 1, router], 80).into()
 }
 
-fn site(zone: &str, router: u8) -> RouterSite {
-    RouterSite { zone: ZoneName::new(zone), address: address(router) }
+fn site(zone: &str, router: u8) -> RouterEndpoint {
+    RouterEndpoint { zone: ZoneName::new(zone), address: address(router) }
 }
 
 fn others(lists: &mut RouterLists<u8>, now: u64) -> Vec<u8> {
@@ -18,7 +18,7 @@
 }
 
 fn told(lists: &mut RouterLists<u8>, link: u8, routers: &[u8]) {
-    lists.on_told(link, routers.iter().map(|router| site("east", *router)).collect());
+    lists.on_router_list(link, routers.iter().map(|router| site("east", *router)).collect());
 }
 
 #[test]
@@ -49,9 +49,9 @@
 
 #[test]
 fn sites_survive_being_grouped_by_zone() {
-    let sites = [site("east", 1), site("east", 3), site("west", 2)];
-    let grouped = ZoneRouters::group(&sites);
+    let endpoints = [site("east", 1), site("east", 3), site("west", 2)];
+    let grouped = ZoneRouters::group(&endpoints);
     assert_eq!(grouped.len(), 2);
-    let single: Vec<RouterSite> = grouped.iter().flat_map(ZoneRouters::sites).collect();
-    assert_eq!(single, sites);
+    let single: Vec<RouterEndpoint> = grouped.iter().flat_map(ZoneRouters::endpoints).collect();
+    assert_eq!(single, endpoints);
 }
--- a/crates/gateway-core/tests/routing.rs
+++ b/crates/gateway-core/tests/routing.rs
@@ -9,7 +9,7 @@
         name: RouteName::new(name),
         host: "ferry.example".into(),
         path_prefix: path_prefix.into(),
-        kind: RouteKind::OnlyOnce,
+        kind: RouteKind::NonIdempotent,
         timeout: Millis(2_000),
         objective: Millis(300),
         gap_objective: None,
@@ -100,15 +100,15 @@
     ));
     assert!(matches!(
         broken(|config| config.routes[1].path_prefix = "/".into()),
-        ConfigError::SamePlace { .. }
+        ConfigError::DuplicateRoute { .. }
     ));
     assert!(matches!(
         broken(|config| config.routes[1].split[0].weight = 0),
-        ConfigError::NoWeight(_)
+        ConfigError::ZeroWeight(_)
     ));
     assert!(matches!(
         broken(|config| config.routes[1].timeout = Millis(0)),
-        ConfigError::NoTimeout(_)
+        ConfigError::ZeroTimeout(_)
     ));
     assert!(matches!(
         broken(|config| config.tenants = Some(vec![tenant("a", &["k"]), tenant("b", &["k"])])),
--- a/crates/gateway-core/tests/slot_shares.rs
+++ b/crates/gateway-core/tests/slot_shares.rs
@@ -79,8 +79,8 @@
     shares.take(&engine.notice.engine);
     shares.take(&engine.notice.engine);
     assert_eq!(shares.free(now, &engine), 0, "more than it has");
-    shares.give_back(&engine.notice.engine);
-    shares.give_back(&engine.notice.engine);
+    shares.release_slot(&engine.notice.engine);
+    shares.release_slot(&engine.notice.engine);
     assert_eq!(shares.free(now, &engine), 1);
 }
 
@@ -88,9 +88,9 @@
 fn a_service_is_held_to_its_slots_for_a_minute_after_a_wish_for_rest() {
     let mut shares = SlotShares::new(address(0));
     let service = ServiceName::new("plain");
-    assert!(!shares.is_held(Timestamp(1_000), &service));
-    shares.on_rest(Timestamp(1_000), &service);
-    assert!(shares.is_held(Timestamp(60_999), &service));
-    assert!(!shares.is_held(Timestamp(61_000), &service));
-    assert!(!shares.is_held(Timestamp(1_000), &ServiceName::new("other")));
+    assert!(!shares.is_slot_limited(Timestamp(1_000), &service));
+    shares.on_backoff(Timestamp(1_000), &service);
+    assert!(shares.is_slot_limited(Timestamp(60_999), &service));
+    assert!(!shares.is_slot_limited(Timestamp(61_000), &service));
+    assert!(!shares.is_slot_limited(Timestamp(1_000), &ServiceName::new("other")));
 }
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -1,8 +1,8 @@
 //! One attempt: one request sent to one engine, up to the head of its answer.
 
+use crate::connection_pool::EngineConnection;
 use crate::decision_log;
-use crate::dialect::{CallerRequest, EngineAddressing, EngineVerdict, EngineWishes};
-use crate::engine_pool::EngineConnection;
+use crate::header_codec::{CallerRequest, EngineDirectives, EngineRequestHeaders, ResponseClass};
 use crate::permits::Permit;
 use crate::router::Router;
 use bytes::Bytes;
@@ -11,7 +11,7 @@
 use hyper::header::{self, HeaderName};
 use hyper::http::response;
 use hyper::{HeaderMap, Method, Request, StatusCode, Uri};
-use stackpost_gateway_core::{AttemptEnd, Choice, EngineRecord, Placement, Standing};
+use stackpost_gateway_core::{AttemptEnd, EngineChoice, EngineRecord, Placement, Standing};
 use stackpost_types::{BackEndName, Millis, Timestamp};
 use std::rc::Rc;
 use std::time::Duration;
@@ -38,8 +38,8 @@
 }
 
 /// An engine for an attempt, and the permit to send the request there if something of it is to be given back.
-pub(crate) struct Chosen {
-    pub choice: Choice,
+pub(crate) struct SelectedEngine {
+    pub choice: EngineChoice,
     pub permit: Option<Permit>,
 }
 
@@ -50,25 +50,25 @@
     /// The engine says that it did not run the request.
     NotRun,
     /// The connection ended; the request may have run, and the engine may have ended under it.
-    BrokenOff,
+    Interrupted,
     /// What came is not the answer to this request, which may have run.
-    Spoiled,
+    InvalidResponse,
     /// The time for a head is over; the request may have run.
-    NoHeadInTime,
+    HeadTimeout,
     /// The head of the engine's answer.
-    Answered(Box<EngineAnswer>),
+    Answered(Box<EngineResponse>),
 }
 
 /// An engine's answer whose body is still to come.
-pub(crate) struct EngineAnswer {
+pub(crate) struct EngineResponse {
     pub head: response::Parts,
     pub body: Incoming,
-    pub hold: EngineHold,
+    pub attempt: ActiveAttempt,
 }
 
 /// A connection in use and the engine's part in the picker's counts. Dropped without
 /// [`Self::finish`] it closes the connection, so that the engine stops.
-pub(crate) struct EngineHold {
+pub(crate) struct ActiveAttempt {
     router: Rc<Router>,
     engine: EngineRecord,
     placement: Option<Placement>,
@@ -82,9 +82,9 @@
     ended: bool,
 }
 
-impl EngineHold {
-    fn new(router: Rc<Router>, choice: Choice, permit: Option<Permit>) -> Self {
-        let Choice { engine, placement, standing } = choice;
+impl ActiveAttempt {
+    fn new(router: Rc<Router>, choice: EngineChoice, permit: Option<Permit>) -> Self {
+        let EngineChoice { engine, placement, standing } = choice;
         router.on_placed(&engine.notice.engine, placement.as_ref());
         let (since, sent_at) = (Instant::now(), router.now());
         Self {
@@ -157,7 +157,7 @@
     }
 }
 
-impl Drop for EngineHold {
+impl Drop for ActiveAttempt {
     fn drop(&mut self) {
         self.end(AttemptEnd::Abandoned);
         if let Some(connection) = self.connection.take() {
@@ -169,21 +169,21 @@
 /// Sends a request to an engine and waits for the head of the answer until `head_until`.
 pub(crate) async fn send(
     router: &Rc<Router>,
-    chosen: Chosen,
+    chosen: SelectedEngine,
     payload: &Payload,
-    addressing: &EngineAddressing<'_>,
+    addressing: &EngineRequestHeaders<'_>,
     fresh: bool,
     head_until: Instant,
     on_sent: impl FnOnce(),
 ) -> AttemptResult {
-    let mut hold = EngineHold::new(router.clone(), chosen.choice, chosen.permit);
+    let mut attempt = ActiveAttempt::new(router.clone(), chosen.choice, chosen.permit);
     let begun = Instant::now();
-    let connecting = router.pool.acquire(&hold.engine, fresh);
+    let connecting = router.pool.acquire(&attempt.engine, fresh);
     let mut connection = match timeout_at(head_until, connecting).await {
         Ok(Ok(connection)) => connection,
         Ok(Err(error)) => {
-            log_end(payload, &hold, "connect", &error.to_string());
-            hold.finish(AttemptEnd::Unreachable, None);
+            log_end(payload, &attempt, "connect", &error.to_string());
+            attempt.finish(AttemptEnd::Unreachable, None);
             return AttemptResult::Unreachable;
         }
         Err(_) => return AttemptResult::Unreachable,
@@ -192,73 +192,75 @@
         router.congestion.on_connected(Instant::now().into_std(), begun.elapsed());
     }
     // While the request waited for a permit or a connection, the engine may have left, or asked for rest in another answer.
-    if !router.may_send(hold.name()) {
-        log_end(payload, &hold, "connect", "the engine takes no more work meanwhile");
-        hold.finish(AttemptEnd::Abandoned, None);
+    if !router.may_send(attempt.name()) {
+        log_end(payload, &attempt, "connect", "the engine takes no more work meanwhile");
+        attempt.finish(AttemptEnd::Abandoned, None);
         return AttemptResult::Unreachable;
     }
     let request = engine_request(router, payload, addressing);
     on_sent();
     let answer = connection.sender.try_send_request(request);
-    hold.connection = Some(connection);
+    attempt.connection = Some(connection);
     match timeout_at(head_until, answer).await {
         Err(_) => {
-            log_end(payload, &hold, "head", "no head in time");
-            hold.finish(AttemptEnd::Broken, None);
-            AttemptResult::NoHeadInTime
+            log_end(payload, &attempt, "head", "no head in time");
+            attempt.finish(AttemptEnd::Broken, None);
+            AttemptResult::HeadTimeout
         }
         Ok(Err(mut error)) => {
             let not_sent = error.take_message().is_some();
-            log_end(payload, &hold, "send", &error.into_error().to_string());
+            log_end(payload, &attempt, "send", &error.into_error().to_string());
             if not_sent {
-                hold.finish(AttemptEnd::Abandoned, None);
+                attempt.finish(AttemptEnd::Abandoned, None);
                 return AttemptResult::Unreachable;
             }
-            hold.finish(AttemptEnd::Broken, None);
-            AttemptResult::BrokenOff
+            attempt.finish(AttemptEnd::Broken, None);
+            AttemptResult::Interrupted
         }
-        Ok(Ok(response)) => judge(router, payload, hold, response),
+        Ok(Ok(response)) => judge(router, payload, attempt, response),
     }
 }
 
 fn judge(
     router: &Router,
     payload: &Payload,
-    hold: EngineHold,
+    attempt: ActiveAttempt,
     response: hyper::Response<Incoming>,
 ) -> AttemptResult {
     let (head, body) = response.into_parts();
-    match router.dialect.judge_answer(&payload.caller, head.status, &head.headers) {
-        EngineVerdict::NotRun => {
-            let wishes = router.dialect.read_wishes(&payload.caller, head.status, &head.headers);
-            decision_log::turned_away(router, payload, &hold, head.status, &wishes);
-            router.on_wishes(&payload.caller.id, hold.name(), hold.sent_at, &wishes);
-            hold.finish(turned_away_end(head.status, &wishes), None);
+    match router.header_codec.classify_response(&payload.caller, head.status, &head.headers) {
+        ResponseClass::NotRun => {
+            let wishes =
+                router.header_codec.read_directives(&payload.caller, head.status, &head.headers);
+            decision_log::rejected_by_engine(router, payload, &attempt, head.status, &wishes);
+            router.on_directives(&payload.caller.id, attempt.name(), attempt.sent_at, &wishes);
+            attempt.finish(turned_away_end(head.status, &wishes), None);
             AttemptResult::NotRun
         }
-        EngineVerdict::WrongEngine => {
-            log_end(payload, &hold, "answer", "another engine is there");
-            hold.finish(AttemptEnd::Unreachable, None);
+        ResponseClass::WrongEngine => {
+            log_end(payload, &attempt, "answer", "another engine is there");
+            attempt.finish(AttemptEnd::Unreachable, None);
             AttemptResult::NotRun
         }
-        EngineVerdict::OtherRequest | EngineVerdict::Unsigned => {
-            log_end(payload, &hold, "answer", "not the answer to this request");
-            hold.finish(AttemptEnd::Broken, None);
-            AttemptResult::Spoiled
+        ResponseClass::OtherRequest | ResponseClass::Unsigned => {
+            log_end(payload, &attempt, "answer", "not the answer to this request");
+            attempt.finish(AttemptEnd::Broken, None);
+            AttemptResult::InvalidResponse
         }
-        EngineVerdict::Genuine => {
-            let wishes = router.dialect.read_wishes(&payload.caller, head.status, &head.headers);
-            router.picker.borrow_mut().on_taken(hold.name(), hold.sent_at);
-            router.on_wishes(&payload.caller.id, hold.name(), hold.sent_at, &wishes);
-            AttemptResult::Answered(Box::new(EngineAnswer { head, body, hold }))
+        ResponseClass::Verified => {
+            let wishes =
+                router.header_codec.read_directives(&payload.caller, head.status, &head.headers);
+            router.picker.borrow_mut().on_accepted(attempt.name(), attempt.sent_at);
+            router.on_directives(&payload.caller.id, attempt.name(), attempt.sent_at, &wishes);
+            AttemptResult::Answered(Box::new(EngineResponse { head, body, attempt }))
         }
     }
 }
 
 /// What a request that was turned away says of the engine: with a wish for rest only what the engine wants.
-fn turned_away_end(status: StatusCode, wishes: &EngineWishes) -> AttemptEnd {
+fn turned_away_end(status: StatusCode, wishes: &EngineDirectives) -> AttemptEnd {
     match status {
-        _ if wishes.rest.is_some() => AttemptEnd::AskedForRest,
+        _ if wishes.backoff.is_some() => AttemptEnd::BackoffRequested,
         StatusCode::SERVICE_UNAVAILABLE => AttemptEnd::Full,
         _ => AttemptEnd::Answered,
     }
@@ -267,13 +269,13 @@
 fn engine_request(
     router: &Router,
     payload: &Payload,
-    addressing: &EngineAddressing<'_>,
+    addressing: &EngineRequestHeaders<'_>,
 ) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(payload.body.clone()));
     *request.method_mut() = payload.method.clone();
     *request.uri_mut() = payload.uri.clone();
     let mut headers = payload.headers.clone();
-    router.dialect.address_engine(&mut headers, addressing);
+    router.header_codec.write_engine_headers(&mut headers, addressing);
     *request.headers_mut() = headers;
     request
 }
@@ -308,10 +310,10 @@
     seconds.trim().parse().ok().map(Duration::from_secs)
 }
 
-fn log_end(payload: &Payload, hold: &EngineHold, step: &str, reason: &str) {
+fn log_end(payload: &Payload, attempt: &ActiveAttempt, step: &str, reason: &str) {
     log::info!(
         request = payload.caller.id.as_str(),
-        engine = hold.engine.notice.engine.as_str(),
+        engine = attempt.engine.notice.engine.as_str(),
         step = step;
         "attempt failed: {reason}"
     );
--- a/crates/gateway/src/engine_pool.rs
+++ b/crates/gateway/src/connection_pool.rs
@@ -57,12 +57,12 @@
 }
 
 /// Resting connections, by engine.
-pub(crate) struct EnginePool {
+pub(crate) struct ConnectionPool {
     clock: MachineClock,
     resting: RefCell<HashMap<BackEndName, Vec<Resting>>>,
 }
 
-impl EnginePool {
+impl ConnectionPool {
     /// An empty pool.
     pub fn new(clock: MachineClock) -> Self {
         Self { clock, resting: RefCell::default() }
@@ -82,7 +82,7 @@
 
     /// Whether an engine still takes connections, looked at with a new one, which is kept for the next request. No answer
     /// in time counts as no.
-    pub async fn takes_connections(&self, engine: &EngineRecord) -> bool {
+    pub async fn accepts_connections(&self, engine: &EngineRecord) -> bool {
         let Ok(Ok(connection)) = timeout(PROBE_TIMEOUT, open(engine.notice.address)).await else {
             return false;
         };
@@ -112,7 +112,7 @@
     }
 
     /// Closes connections that have rested too long or whose engines have left.
-    pub fn forget_idle(&self, directory: &EngineDirectory) {
+    pub fn evict_idle(&self, directory: &EngineDirectory) {
         self.resting.borrow_mut().retain(|engine, resting| {
             let gone =
                 directory.get(engine).is_none_or(|record| record.notice.state == EngineState::Gone);
--- a/crates/gateway/src/deadline.rs
+++ b/crates/gateway/src/deadline.rs
@@ -26,12 +26,12 @@
     }
 
     /// What is left of the time.
-    pub fn left(&self) -> Duration {
+    pub fn remaining(&self) -> Duration {
         self.over.since(self.clock.now())
     }
 
     /// Whether the time is over.
-    pub fn is_over(&self) -> bool {
-        self.left().is_zero()
+    pub fn is_expired(&self) -> bool {
+        self.remaining().is_zero()
     }
 }
--- a/crates/gateway/src/fleet_link.rs
+++ b/crates/gateway/src/fleet_link.rs
@@ -1,18 +1,18 @@
 //! Keeps a router's knowledge up to date over the connections of the fleet.
 
-mod engine_news;
-mod farewell;
-mod loan_exchange;
+mod engine_updates;
+mod final_usage;
+mod loan_messages;
 
-use self::farewell::Custody;
+use self::final_usage::RelayedFinalUsage;
 use crate::load_exchange::LoadExchange;
 use crate::loans::{LoanCommand, Loans};
 use crate::machine_clock::machine_time;
 use crate::router::Router;
 use stackpost_coordinator::{ClockEcho, ControlStatus, FleetMessage, RouterStatus, RouterVersions};
-use stackpost_gateway_core::{RouterLists, RouterSite, ZoneRouters};
+use stackpost_gateway_core::{RouterEndpoint, RouterLists, ZoneRouters};
 use stackpost_mesh::{LinkEvent, LinkId, Mesh, PeerInfo, PeerRole};
-use stackpost_prepaid::{AccountReport, Allotment, Contact};
+use stackpost_prepaid::{AccountReport, Allotment, BootTimestamp};
 use stackpost_types::{BackEndName, Digest, NodeId, PeerError, TenantName};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -39,15 +39,15 @@
     /// The control processes that are connected.
     links: RefCell<BTreeMap<LinkId, NodeId>>,
     leader: Cell<Option<LinkId>>,
-    leader_contact: Cell<Option<Contact>>,
+    leader_contact: Cell<Option<BootTimestamp>>,
     echoes: RefCell<BTreeMap<LinkId, ClockEcho>>,
     /// How far this router is with what each control process tells it.
     versions: RefCell<BTreeMap<LinkId, RouterVersions>>,
-    started: Contact,
+    started: BootTimestamp,
     reported: RefCell<BTreeMap<TenantName, AccountReport>>,
     fully_reported_at: Cell<Instant>,
     sign_at: Cell<Instant>,
-    farewell_taken: Notify,
+    final_usage_taken: Notify,
     /// Other routers, to be dialed only when this one needs them.
     peers: RefCell<Vec<SocketAddr>>,
     /// Connections to other routers, and where these accept connections.
@@ -57,15 +57,15 @@
     loans: Loans,
     exchange: Rc<LoadExchange>,
     /// Where this router accepts connections of the fleet.
-    site: RouterSite,
+    site: RouterEndpoint,
     /// The routers that each control process hears.
     router_lists: RefCell<RouterLists<LinkId>>,
     /// The routers that are there, as taken over last.
-    sites: RefCell<BTreeSet<RouterSite>>,
+    endpoints: RefCell<BTreeSet<RouterEndpoint>>,
     /// Engines that each control process has not heard of late.
     silent: RefCell<BTreeMap<LinkId, BTreeSet<BackEndName>>>,
     /// What routers that stopped out of touch have spent, to be passed on to the leader.
-    custody: RefCell<BTreeMap<NodeId, Custody>>,
+    relayed_usage: RefCell<BTreeMap<NodeId, RelayedFinalUsage>>,
     stopped: Cell<bool>,
 }
 
@@ -76,14 +76,14 @@
         router: Rc<Router>,
         seeds: &[SocketAddr],
     ) -> Result<Rc<Self>, PeerError> {
-        let listens_at = own.listens_at;
-        let site = RouterSite { zone: own.zone.clone(), address: listens_at };
+        let listen_address = own.listen_address;
+        let site = RouterEndpoint { zone: own.zone.clone(), address: listen_address };
         let node = own.node.clone();
         let started = machine_time(&router.clock);
         let (mesh, events) = Mesh::new(own);
-        mesh.listen(listens_at).await?;
+        mesh.listen(listen_address).await?;
         let life = Digest::of(&[node.to_string().as_bytes()]).to_u64();
-        let exchange = LoadExchange::start(life, listens_at, router.clone()).await?;
+        let exchange = LoadExchange::start(life, listen_address, router.clone()).await?;
         let link = Rc::new(Self {
             node,
             mesh,
@@ -97,7 +97,7 @@
             reported: RefCell::default(),
             fully_reported_at: Cell::new(Instant::now()),
             sign_at: Cell::new(Instant::now()),
-            farewell_taken: Notify::new(),
+            final_usage_taken: Notify::new(),
             peers: RefCell::default(),
             peer_links: RefCell::default(),
             lenders_dialed: RefCell::default(),
@@ -105,13 +105,13 @@
             exchange,
             site,
             router_lists: RefCell::default(),
-            sites: RefCell::default(),
+            endpoints: RefCell::default(),
             silent: RefCell::default(),
-            custody: RefCell::default(),
+            relayed_usage: RefCell::default(),
             stopped: Cell::new(false),
         });
         link.add_seeds(seeds);
-        let loan_commands = link.router.loan_desk.open();
+        let loan_commands = link.router.loan_handle.open();
         tokio::task::spawn_local(link.clone().run(events, loan_commands));
         Ok(link)
     }
@@ -122,26 +122,26 @@
     }
 
     fn on_routers(&self, link: LinkId, zones: &[ZoneRouters]) {
-        let routers = zones.iter().flat_map(ZoneRouters::sites).collect();
-        self.router_lists.borrow_mut().on_told(link, routers);
+        let routers = zones.iter().flat_map(ZoneRouters::endpoints).collect();
+        self.router_lists.borrow_mut().on_router_list(link, routers);
         self.take_over_routers();
     }
 
     fn take_over_routers(&self) {
         let now = self.router.now();
-        let Some(sites) = self.router_lists.borrow_mut().sites(now) else {
+        let Some(endpoints) = self.router_lists.borrow_mut().endpoints(now) else {
             return;
         };
-        if *self.sites.borrow() == sites {
+        if *self.endpoints.borrow() == endpoints {
             return;
         }
-        let others: BTreeSet<SocketAddr> = sites.iter().map(|site| site.address).collect();
+        let others: BTreeSet<SocketAddr> = endpoints.iter().map(|site| site.address).collect();
         let others: Vec<SocketAddr> =
             others.into_iter().filter(|other| *other != self.site.address).collect();
         self.router.permits.set_others(now, &others);
-        self.router.account_owners.borrow_mut().set_sites(&self.site, &sites);
+        self.router.account_owners.borrow_mut().set_endpoints(&self.site, &endpoints);
         self.forget_lenders(&others);
-        *self.sites.borrow_mut() = sites;
+        *self.endpoints.borrow_mut() = endpoints;
     }
 
     async fn run(
@@ -156,26 +156,26 @@
             tokio::select! {
                 Some(event) = events.recv() => self.on_event(event),
                 Some(command) = loan_commands.recv() => self.on_loan_command(command),
-                () = self.router.crash_news.notified() => self.report_crashes(),
-                () = self.router.wallet_short.notified() => self.report(),
+                () = self.router.crash_report_due.notified() => self.report_crashes(),
+                () = self.router.wallet_insufficient.notified() => self.report(),
                 _ = reports.tick() => {
                     self.report();
                     self.take_over_routers();
-                    self.ask_for_loans();
-                    self.deliver_custody();
+                    self.send_loan_queries();
+                    self.forward_relayed_usage();
                 }
                 _ = forget.tick() => {
                     self.forget_old();
-                    self.router.give_back_unowned();
-                    self.router.compare_old_rates();
-                    self.router.crash_memory.borrow_mut().tell_again(self.router.now());
+                    self.router.release_unowned_tokens();
+                    self.router.revalidate_old_rates();
+                    self.router.crash_tracker.borrow_mut().resend_recent(self.router.now());
                     self.report_crashes();
                     let router = &self.router;
-                    let engines = router.known_engines();
-                    router.metrics.on_look(router.document_version(), router.in_touch(), engines);
-                    router.metrics.on_resting(router.picker.borrow().resting(router.now()));
-                    router.metrics.on_limited(router.permits.limited_engines());
-                    router.metrics.on_quarantined(router.crash_memory.borrow().quarantined());
+                    let engines = router.ready_engine_count();
+                    router.metrics.record_state(router.document_version(), router.in_touch(), engines);
+                    router.metrics.record_backing_off(router.picker.borrow().resting(router.now()));
+                    router.metrics.record_rate_limited(router.permits.rate_limited_engines());
+                    router.metrics.record_quarantined(router.crash_tracker.borrow().quarantined());
                 }
             }
         }
@@ -184,8 +184,8 @@
     fn on_event(self: &Rc<Self>, event: LinkEvent<FleetMessage>) {
         match event {
             LinkEvent::Up { link, peer, .. } if peer.role == PeerRole::Router => {
-                self.peer_links.borrow_mut().insert(link, peer.listens_at);
-                self.ask_for_loans();
+                self.peer_links.borrow_mut().insert(link, peer.listen_address);
+                self.send_loan_queries();
             }
             LinkEvent::Up { link, peer, .. } => {
                 log::info!(peer = peer.node.to_string().as_str(); "control connected");
@@ -224,23 +224,25 @@
                 self.send_sign(link);
             }
             FleetMessage::EngineChanges(news) => self.on_engine_changes(link, news),
-            FleetMessage::GivenUp(engines) => {
+            FleetMessage::ExpiredEngines(engines) => {
                 let mut directory = self.router.directory.borrow_mut();
                 engines.iter().for_each(|engine| directory.forget(engine));
             }
             FleetMessage::Departures(news) => self.on_departures(link, &news),
-            FleetMessage::Allotted(allotments) => self.on_allotted(allotments),
+            FleetMessage::Allotments(allotments) => self.on_allotted(allotments),
             FleetMessage::Recall(keeps) => {
                 let mut wallet = self.router.wallet.borrow_mut();
                 for (tenant, keep) in keeps {
-                    wallet.give_back_above(&tenant, keep);
+                    wallet.return_excess(&tenant, keep);
                 }
                 drop(wallet);
                 // A request elsewhere may wait for it.
                 self.report();
             }
-            FleetMessage::FarewellTaken => self.farewell_taken.notify_one(),
-            FleetMessage::Custody(router, spent) => self.on_custody(link, router, spent),
+            FleetMessage::FinalUsageAck => self.final_usage_taken.notify_one(),
+            FleetMessage::RelayedFinalUsage(router, spent) => {
+                self.on_relayed_usage(link, router, spent)
+            }
             FleetMessage::Borrow { token, tenant, amount, wait } => {
                 self.lend(link, token, tenant, amount, wait);
             }
@@ -254,11 +256,11 @@
             }
             FleetMessage::Quarantined(notice) => {
                 let now = self.router.now();
-                if self.router.crash_memory.borrow_mut().on_notice(now, notice) {
+                if self.router.crash_tracker.borrow_mut().on_notice(now, notice) {
                     self.report_crashes();
                 }
             }
-            FleetMessage::Outlooks(outlooks) => *self.router.outlooks.borrow_mut() = outlooks,
+            FleetMessage::Forecasts(forecasts) => *self.router.forecasts.borrow_mut() = forecasts,
             FleetMessage::Routers { version, all, peers } => {
                 self.versions_of(link, |versions| versions.routers = version);
                 self.on_routers(link, &all);
@@ -267,11 +269,11 @@
             }
             FleetMessage::Raft(_)
             | FleetMessage::Engines(_)
-            | FleetMessage::Alive
+            | FleetMessage::KeepAlive
             | FleetMessage::RouterStatus(_)
             | FleetMessage::CrashReport(_)
-            | FleetMessage::DepartureWords(_)
-            | FleetMessage::Farewell(_) => {}
+            | FleetMessage::DepartureNotices(_)
+            | FleetMessage::FinalUsage(_) => {}
         }
     }
 
@@ -279,18 +281,18 @@
         for address in &status.control_peers {
             self.mesh.dial(*address);
         }
-        let heard = machine_time(&self.router.clock);
-        self.echoes.borrow_mut().insert(link, ClockEcho { heard, spoken: status.clock });
+        let received_at = machine_time(&self.router.clock);
+        self.echoes.borrow_mut().insert(link, ClockEcho { received_at, sent_at: status.clock });
         let routers = u64::from(status.routers);
         self.router.retry_budget.borrow_mut().set_routers(routers);
         if status.leads {
             let leader_is_new = self.leader.replace(Some(link)) != Some(link);
-            self.leader_contact.set(Some(heard));
-            self.router.on_leader_heard(status.document_version, status.departures);
+            self.leader_contact.set(Some(received_at));
+            self.router.on_leader_contact(status.document_version, status.departures);
             if leader_is_new {
                 self.reported.borrow_mut().clear();
                 self.report();
-                self.router.crash_memory.borrow_mut().on_new_leader(self.router.now());
+                self.router.crash_tracker.borrow_mut().on_new_leader(self.router.now());
                 self.report_crashes();
             }
         } else if self.leader.get() == Some(link) {
@@ -306,7 +308,7 @@
         }
         drop(wallet);
         if grown {
-            self.router.wallet_grown.notify_waiters();
+            self.router.wallet_refilled.notify_waiters();
         }
     }
 
@@ -321,7 +323,7 @@
                 self.send_sign(link);
             });
             let peers: Vec<LinkId> = self.peer_links.borrow().keys().copied().collect();
-            self.mesh.send_all(peers, &FleetMessage::Alive);
+            self.mesh.send_all(peers, &FleetMessage::KeepAlive);
         }
         let Some(leader) = leader.filter(|_| !self.stopped.get()) else {
             return;
@@ -341,13 +343,13 @@
     fn report_crashes(&self) {
         if !self.router.in_touch() {
             let now = self.router.now();
-            let news = self.router.crash_memory.borrow_mut().take_news_for_routers(now);
-            self.exchange.tell_engines_ended(&news);
+            let news = self.router.crash_tracker.borrow_mut().take_peer_sightings(now);
+            self.exchange.broadcast_engine_crashes(&news);
         }
         let Some(leader) = self.leader.get() else {
             return;
         };
-        let report = self.router.crash_memory.borrow_mut().take_report(self.router.now());
+        let report = self.router.crash_tracker.borrow_mut().take_report(self.router.now());
         if let Some(report) = report {
             self.mesh.send(leader, &FleetMessage::CrashReport(report));
         }
@@ -394,7 +396,7 @@
         let mut directory = self.router.directory.borrow_mut();
         directory.forget_old(self.router.now());
         self.router.picker.borrow_mut().forget_unknown(self.router.now(), &directory);
-        self.router.pool.forget_idle(&directory);
+        self.router.pool.evict_idle(&directory);
         self.router.permits.forget_old(self.router.now(), &directory);
         self.router.shedding.borrow_mut().forget_old(self.router.now());
     }
--- a/crates/gateway/src/fleet_link/engine_news.rs
+++ b/crates/gateway/src/fleet_link/engine_updates.rs
@@ -2,7 +2,7 @@
 
 use super::FleetLink;
 use stackpost_gateway_core::{
-    DepartureNews, DepartureWord, DirectoryNews, EngineNotice, EngineState, Merge,
+    DepartureDelta, DepartureRecord, DirectoryDelta, EngineNotice, EngineState, MergeOutcome,
 };
 use stackpost_mesh::LinkId;
 use stackpost_types::{BackEndName, Millis, Timestamp};
@@ -14,7 +14,7 @@
 impl FleetLink {
     /// Takes in what is new in the directory of a control process. What does not build on what this router has been told
     /// leaves a gap, and is told again.
-    pub(super) fn on_engine_changes(&self, link: LinkId, news: DirectoryNews) {
+    pub(super) fn on_engine_changes(&self, link: LinkId, news: DirectoryDelta) {
         let (base, revision) = (news.base, news.revision);
         self.on_engines(link, news.notices);
         self.versions_of(link, |versions| {
@@ -30,7 +30,7 @@
         for notice in notices {
             let before = self.state_of(&notice.engine);
             let merged = self.router.directory.borrow_mut().merge(now, notice.clone());
-            if merged != Merge::Changed {
+            if merged != MergeOutcome::Changed {
                 continue;
             }
             self.on_engine_changed(now, &notice.engine, notice.state);
@@ -38,7 +38,7 @@
                 arrivals.push(notice);
             } else if before != Some(notice.state) {
                 let (state, sequence) = (notice.state, notice.sequence);
-                let word = DepartureWord { engine: notice.engine, state, sequence };
+                let word = DepartureRecord { engine: notice.engine, state, sequence };
                 self.on_departure(now, link, &word, Some(notice.age));
             }
         }
@@ -46,15 +46,15 @@
     }
 
     /// Takes in what the control replicas have written down of engines' ends, and confirms it.
-    pub(super) fn on_departures(&self, link: LinkId, news: &DepartureNews) {
+    pub(super) fn on_departures(&self, link: LinkId, news: &DepartureDelta) {
         let now = self.router.now();
-        for word in &news.words {
-            let has_changed = self.router.directory.borrow_mut().depart(now, word);
+        for word in &news.records {
+            let has_changed = self.router.directory.borrow_mut().apply_departure(now, word);
             if has_changed && word.state != EngineState::Ready {
                 self.on_departure(now, link, word, None);
             }
         }
-        self.router.on_departures_told(news);
+        self.router.on_departures_received(news);
         self.send_sign(link);
     }
 
@@ -64,9 +64,9 @@
 
     /// A life that has begun shows that the one before has ended.
     fn on_engine_changed(&self, now: Timestamp, engine: &BackEndName, state: EngineState) {
-        let mut memory = self.router.crash_memory.borrow_mut();
-        if state != EngineState::Gone && memory.on_life_begun(now, engine) {
-            self.router.crash_news.notify_one();
+        let mut memory = self.router.crash_tracker.borrow_mut();
+        if state != EngineState::Gone && memory.on_incarnation_started(now, engine) {
+            self.router.crash_report_due.notify_one();
         }
     }
 
@@ -76,7 +76,7 @@
         &self,
         now: Timestamp,
         link: LinkId,
-        word: &DepartureWord,
+        word: &DepartureRecord,
         age: Option<Millis>,
     ) {
         let sent_since = age.map(|age| {
--- a/crates/gateway/src/fleet_link/farewell.rs
+++ b/crates/gateway/src/fleet_link/final_usage.rs
@@ -17,7 +17,7 @@
 const KEEPERS: usize = 12;
 
 /// What another router left here when it stopped.
-pub(super) struct Custody {
+pub(super) struct RelayedFinalUsage {
     spent: BTreeMap<TenantName, Tokens>,
     delivered: u32,
 }
@@ -25,13 +25,13 @@
 impl FleetLink {
     /// Ends this router's life: all that it holds goes back. Returns once the leader has taken
     /// that in, or after `limit`.
-    pub async fn say_farewell(&self, limit: Duration) {
+    pub async fn report_final_usage(&self, limit: Duration) {
         self.stopped.set(true);
         let used = self.router.wallet.borrow().used();
         let repeat = async {
             loop {
                 self.send_farewell(&used);
-                if timeout(FAREWELL_INTERVAL, self.farewell_taken.notified()).await.is_ok() {
+                if timeout(FAREWELL_INTERVAL, self.final_usage_taken.notified()).await.is_ok() {
                     return;
                 }
             }
@@ -44,13 +44,17 @@
     /// To the leader, or out of touch to other routers, which pass it on.
     fn send_farewell(&self, used: &BTreeMap<TenantName, Tokens>) {
         if let Some(leader) = self.leader.get().filter(|_| self.router.in_touch()) {
-            return self.mesh.send(leader, &FleetMessage::Farewell(used.clone()));
+            return self.mesh.send(leader, &FleetMessage::FinalUsage(used.clone()));
         }
         self.dial_keepers();
         let links: Vec<LinkId> = self.peer_links.borrow().keys().copied().collect();
-        self.mesh.send_all(links.clone(), &FleetMessage::Custody(self.node.clone(), used.clone()));
-        for (router, custody) in self.custody.borrow().iter() {
-            let message = FleetMessage::Custody(router.clone(), custody.spent.clone());
+        self.mesh.send_all(
+            links.clone(),
+            &FleetMessage::RelayedFinalUsage(self.node.clone(), used.clone()),
+        );
+        for (router, relayed_usage) in self.relayed_usage.borrow().iter() {
+            let message =
+                FleetMessage::RelayedFinalUsage(router.clone(), relayed_usage.spent.clone());
             self.mesh.send_all(links.clone(), &message);
         }
     }
@@ -61,28 +65,29 @@
         }
     }
 
-    pub(super) fn on_custody(
+    pub(super) fn on_relayed_usage(
         &self,
         link: LinkId,
         router: NodeId,
         spent: BTreeMap<TenantName, Tokens>,
     ) {
         log::info!(router = router.to_string().as_str(); "farewell kept for another router");
-        self.custody.borrow_mut().insert(router, Custody { spent, delivered: 0 });
-        self.mesh.send(link, &FleetMessage::FarewellTaken);
-        self.deliver_custody();
+        self.relayed_usage.borrow_mut().insert(router, RelayedFinalUsage { spent, delivered: 0 });
+        self.mesh.send(link, &FleetMessage::FinalUsageAck);
+        self.forward_relayed_usage();
     }
 
     /// Passes on what other routers have left here, some times, since a message may be lost.
-    pub(super) fn deliver_custody(&self) {
+    pub(super) fn forward_relayed_usage(&self) {
         let Some(leader) = self.leader.get().filter(|_| self.router.in_touch()) else {
             return;
         };
-        self.custody.borrow_mut().retain(|router, custody| {
-            let message = FleetMessage::Custody(router.clone(), custody.spent.clone());
+        self.relayed_usage.borrow_mut().retain(|router, relayed_usage| {
+            let message =
+                FleetMessage::RelayedFinalUsage(router.clone(), relayed_usage.spent.clone());
             self.mesh.send(leader, &message);
-            custody.delivered += 1;
-            custody.delivered < CUSTODY_DELIVERIES
+            relayed_usage.delivered += 1;
+            relayed_usage.delivered < CUSTODY_DELIVERIES
         });
     }
 }
--- a/crates/gateway/src/fleet_link/loan_exchange.rs
+++ b/crates/gateway/src/fleet_link/loan_messages.rs
@@ -20,7 +20,7 @@
         links.iter().rev().find(|(_, address)| **address == router).map(|(link, _)| *link)
     }
 
-    fn is_coming_up(&self, router: SocketAddr) -> bool {
+    fn is_connecting(&self, router: SocketAddr) -> bool {
         let dialed_at = self.lenders_dialed.borrow().get(&router).copied();
         dialed_at.is_some_and(|at| at.elapsed() < LINK_COMES_UP)
     }
@@ -32,7 +32,7 @@
             LoanCommand::Ask(request) => {
                 self.dial_lenders(&request);
                 self.loans.ask(request);
-                self.ask_for_loans();
+                self.send_loan_queries();
             }
             LoanCommand::Settle { loan, used } => self.settle(loan, used),
         }
@@ -53,7 +53,7 @@
             let link = self.clone();
             tokio::task::spawn_local(async move {
                 sleep(LINK_COMES_UP).await;
-                link.ask_for_loans();
+                link.send_loan_queries();
             });
         }
     }
@@ -63,20 +63,20 @@
         self.lenders_dialed.borrow_mut().retain(|lender, _| {
             let is_there = others.contains(lender);
             if !is_there {
-                self.mesh.forget(*lender);
+                self.mesh.stop_dialing(*lender);
             }
             is_there
         });
     }
 
     /// Sends what requests want to ask, and passes over lenders that have not answered.
-    pub(super) fn ask_for_loans(&self) {
+    pub(super) fn send_loan_queries(&self) {
         let now = self.router.now();
-        for lender in self.loans.forget_ended(now) {
+        for lender in self.loans.remove_abandoned(now) {
             log::info!(lender = lender.to_string().as_str(); "no answer from a lender");
             self.router.account_owners.borrow_mut().on_no_answer(now, lender);
         }
-        for question in self.loans.questions(now, self) {
+        for question in self.loans.outgoing_queries(now, self) {
             let (token, tenant, amount) = (question.token, question.tenant, question.amount);
             let message = FleetMessage::Borrow { token, tenant, amount, wait: question.wait };
             self.mesh.send(question.to, &message);
@@ -91,8 +91,8 @@
         if let Some(unwanted) = self.loans.on_reply(self.router.now(), lender, token, answer) {
             self.settle(unwanted, Tokens::ZERO);
         }
-        if self.loans.is_wanted() {
-            self.ask_for_loans();
+        if self.loans.has_pending() {
+            self.send_loan_queries();
         }
     }
 
@@ -138,16 +138,16 @@
         if let Some((tenant, amount)) = self.loans.on_settled(borrower, token) {
             self.router.wallet.borrow_mut().settle(&tenant, amount, used);
             if used < amount {
-                self.router.wallet_grown.notify_waiters();
+                self.router.wallet_refilled.notify_waiters();
             }
         }
     }
 
     /// Whoever borrowed over this connection can't say any more what was used.
     pub(super) fn on_peer_down(&self, link: LinkId) {
-        for (tenant, amount) in self.loans.on_down(link) {
+        for (tenant, amount) in self.loans.on_link_down(link) {
             self.router.wallet.borrow_mut().settle(&tenant, amount, amount);
         }
-        self.ask_for_loans();
+        self.send_loan_queries();
     }
 }
--- a/crates/gateway/src/break_check.rs
+++ b/crates/gateway/src/liveness_probe.rs
@@ -17,19 +17,19 @@
 
 /// Checks under way, one an engine: when an engine ends, all that ran there breaks off at one moment.
 #[derive(Default)]
-pub(crate) struct BreakChecks {
+pub(crate) struct LivenessProbes {
     under_way: RefCell<HashMap<BackEndName, Check>>,
 }
 
 impl Router {
     /// Whether an engine lives on whose connection has just broken. One that is not known any more does not.
-    pub(crate) async fn lives_after_break(self: &Rc<Self>, engine: &BackEndName) -> bool {
-        let under_way = self.break_checks.under_way.borrow().get(engine).cloned();
+    pub(crate) async fn survived_interruption(self: &Rc<Self>, engine: &BackEndName) -> bool {
+        let under_way = self.liveness_probes.under_way.borrow().get(engine).cloned();
         let check = under_way.unwrap_or_else(|| self.begin_check(engine));
         check.await
     }
 
-    fn takes_work(&self, engine: &BackEndName) -> bool {
+    fn accepts_requests(&self, engine: &BackEndName) -> bool {
         let directory = self.directory.borrow();
         directory.get(engine).is_some_and(|record| record.notice.state != EngineState::Gone)
     }
@@ -39,16 +39,16 @@
         let checking = async move {
             let record = router.directory.borrow().get(&name).cloned();
             let answers = match record {
-                Some(record) => router.pool.takes_connections(&record).await,
+                Some(record) => router.pool.accepts_connections(&record).await,
                 None => false,
             };
             // Its next life may be the one that answers.
-            let lives = answers && router.takes_work(&name);
-            router.break_checks.under_way.borrow_mut().remove(&name);
+            let lives = answers && router.accepts_requests(&name);
+            router.liveness_probes.under_way.borrow_mut().remove(&name);
             lives
         };
         let check = checking.boxed_local().shared();
-        self.break_checks.under_way.borrow_mut().insert(engine.clone(), check.clone());
+        self.liveness_probes.under_way.borrow_mut().insert(engine.clone(), check.clone());
         // It ends even if every request that waits for it is given up.
         tokio::task::spawn_local(check.clone());
         check
--- a/crates/gateway/src/load_exchange.rs
+++ b/crates/gateway/src/load_exchange.rs
@@ -8,7 +8,7 @@
 use crate::peer_socket::{PeerDatagram, PeerSocket};
 use crate::router::Router;
 use serde::{Deserialize, Serialize};
-use stackpost_gateway_core::{CrashSighting, EngineNews};
+use stackpost_gateway_core::{CrashSighting, EngineLoadUpdate};
 use stackpost_types::{BackEndName, Millis, PeerError, Tokens};
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -34,10 +34,10 @@
 
 /// What one router tells the others.
 #[derive(Debug, Serialize, Deserialize)]
-pub(crate) struct LoadNews {
+pub(crate) struct LoadUpdate {
     /// Names the sender's life.
     router: u64,
-    engines: Vec<(BackEndName, EngineNews)>,
+    engines: Vec<(BackEndName, EngineLoadUpdate)>,
 }
 
 /// One router's part in the exchange.
@@ -67,13 +67,13 @@
     /// Takes over who is to be told.
     pub fn set_peers(&self, peers: &[SocketAddr]) {
         *self.peers.borrow_mut() = peers.to_vec();
-        self.router.told_at_once.set(Tokens(TOLD_AT_ONCE.0 * self.crowd()));
+        self.router.urgent_update_tokens.set(Tokens(TOLD_AT_ONCE.0 * self.crowd()));
     }
 
     /// Tells other routers of engines that ended under requests.
-    pub(crate) fn tell_engines_ended(&self, seen: &[(CrashSighting, Millis)]) {
+    pub(crate) fn broadcast_engine_crashes(&self, seen: &[(CrashSighting, Millis)]) {
         for some in seen.chunks(ENGINES_PER_DATAGRAM) {
-            let datagram = PeerDatagram::EnginesEnded(some.to_vec());
+            let datagram = PeerDatagram::EngineCrashes(some.to_vec());
             self.peers.borrow().iter().for_each(|peer| self.socket.send(*peer, &datagram));
         }
     }
@@ -87,9 +87,9 @@
         loop {
             match self.socket.receive(&self.router.metrics).await {
                 (PeerDatagram::Load(news), _) => self.take_in(news),
-                (PeerDatagram::EnginesEnded(seen), _) => {
+                (PeerDatagram::EngineCrashes(seen), _) => {
                     let now = self.router.now();
-                    self.router.crash_memory.borrow_mut().on_told_by_router(now, seen);
+                    self.router.crash_tracker.borrow_mut().on_peer_sightings(now, seen);
                 }
                 (PeerDatagram::Permit(message), from) => {
                     self.router.on_permit_message(from, message);
@@ -98,11 +98,11 @@
         }
     }
 
-    fn take_in(&self, news: LoadNews) {
+    fn take_in(&self, news: LoadUpdate) {
         let now = self.router.now();
         let mut picker = self.router.picker.borrow_mut();
         for (engine, of_engine) in news.engines {
-            picker.on_news(now, news.router, engine, &of_engine);
+            picker.on_peer_update(now, news.router, engine, &of_engine);
         }
     }
 
@@ -115,7 +115,7 @@
             };
             if !urgent {
                 told_all_at = Instant::now();
-                self.router.tell_rates();
+                self.router.publish_rates();
             }
             self.tell_all(urgent);
             sleep(GATHER_TIME).await;
@@ -127,10 +127,10 @@
     }
 
     fn tell_all(&self, urgent: bool) {
-        let news = self.router.picker.borrow_mut().take_news(urgent);
+        let news = self.router.picker.borrow_mut().take_updates(urgent);
         let peers = self.peers.borrow().clone();
         for engines in news.chunks(ENGINES_PER_DATAGRAM) {
-            let news = LoadNews { router: self.own, engines: engines.to_vec() };
+            let news = LoadUpdate { router: self.own, engines: engines.to_vec() };
             let datagram = PeerDatagram::Load(news);
             for peer in &peers {
                 self.socket.send(*peer, &datagram);
--- a/crates/gateway/src/loans.rs
+++ b/crates/gateway/src/loans.rs
@@ -36,7 +36,7 @@
     /// The lender could not cover the request, and the leader has handed it nothing for it.
     NotCovered,
     /// No lender could be asked, or none that could has anything.
-    NobodyLends,
+    NoLender,
 }
 
 /// A request's wish.
@@ -73,7 +73,7 @@
     /// The connection to a router, if there is one.
     fn link_to(&self, router: SocketAddr) -> Option<LinkId>;
     /// Whether a connection to a router is expected within moments.
-    fn is_coming_up(&self, router: SocketAddr) -> bool;
+    fn is_connecting(&self, router: SocketAddr) -> bool;
 }
 
 /// A question that has not been answered.
@@ -95,7 +95,7 @@
 
 /// A question to be sent to another router.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Question {
+pub struct LoanQuery {
     /// The connection to the other router.
     pub to: LinkId,
     /// Names the loan.
@@ -126,7 +126,7 @@
 }
 
 impl Loans {
-    /// Takes in a request's wish; questions follow from [`Self::questions`].
+    /// Takes in a request's wish; questions follow from [`Self::outgoing_queries`].
     pub fn ask(&self, request: LoanRequest) {
         let mut token = self.next_token.borrow_mut();
         *token += 1;
@@ -137,8 +137,8 @@
     }
 
     /// The questions to send now. A request whose lenders have all been asked or can't be is told so.
-    pub fn questions(&self, now: Timestamp, links: &impl LenderLinks) -> Vec<Question> {
-        let mut questions = Vec::new();
+    pub fn outgoing_queries(&self, now: Timestamp, links: &impl LenderLinks) -> Vec<LoanQuery> {
+        let mut outgoing_queries = Vec::new();
         let mut ended = Vec::new();
         let mut pending = self.pending.borrow_mut();
         for (token, ask) in pending.iter_mut().filter(|(_, ask)| ask.outstanding.is_none()) {
@@ -147,7 +147,13 @@
                     ask.outstanding = Some(Outstanding { lender, link, asked_at: now });
                     let (tenant, amount) = (ask.tenant.clone(), ask.amount);
                     let wait = ask.until.since(now);
-                    questions.push(Question { to: link, token: *token, tenant, amount, wait });
+                    outgoing_queries.push(LoanQuery {
+                        to: link,
+                        token: *token,
+                        tenant,
+                        amount,
+                        wait,
+                    });
                 }
                 NextLender::Wait => {}
                 NextLender::None => ended.push(*token),
@@ -155,9 +161,9 @@
         }
         for ask in ended.into_iter().filter_map(|token| pending.remove(&token)) {
             // The request may have given up meanwhile.
-            let _ = ask.reply.send(LoanOutcome::NobodyLends);
+            let _ = ask.reply.send(LoanOutcome::NoLender);
         }
-        questions
+        outgoing_queries
     }
 
     fn next_lender(
@@ -173,7 +179,7 @@
                     ask.lenders.pop_front();
                     return NextLender::Ask(lender, link);
                 }
-                None if links.is_coming_up(lender) => return NextLender::Wait,
+                None if links.is_connecting(lender) => return NextLender::Wait,
                 None => {}
             }
             ask.lenders.pop_front();
@@ -189,7 +195,7 @@
     }
 
     /// Forgets requests that have given up. Returns the lenders that have not answered them.
-    pub fn forget_ended(&self, now: Timestamp) -> Vec<SocketAddr> {
+    pub fn remove_abandoned(&self, now: Timestamp) -> Vec<SocketAddr> {
         let mut without_answer = Vec::new();
         self.pending.borrow_mut().retain(|_, ask| {
             let has_ended = ask.reply.is_closed();
@@ -247,7 +253,7 @@
     }
 
     /// A connection is gone. Returns what was lent over it and will never be settled.
-    pub fn on_down(&self, link: LinkId) -> Vec<(TenantName, Tokens)> {
+    pub fn on_link_down(&self, link: LinkId) -> Vec<(TenantName, Tokens)> {
         for ask in self.pending.borrow_mut().values_mut() {
             if ask.outstanding.as_ref().is_some_and(|outstanding| outstanding.link == link) {
                 ask.outstanding = None;
@@ -261,7 +267,7 @@
     }
 
     /// Whether a request waits.
-    pub fn is_wanted(&self) -> bool {
+    pub fn has_pending(&self) -> bool {
         !self.pending.borrow().is_empty()
     }
 }
@@ -278,11 +284,11 @@
 
 /// The way from requests to the loans.
 #[derive(Default)]
-pub struct LoanDesk {
+pub struct LoanHandle {
     commands: RefCell<Option<mpsc::UnboundedSender<LoanCommand>>>,
 }
 
-impl LoanDesk {
+impl LoanHandle {
     /// Connects the requests with whoever carries out their commands.
     pub fn open(&self) -> mpsc::UnboundedReceiver<LoanCommand> {
         let (sender, receiver) = mpsc::unbounded_channel();
@@ -301,7 +307,7 @@
         let (reply, answer) = oneshot::channel();
         let tenant = tenant.clone();
         self.send(LoanCommand::Ask(LoanRequest { tenant, amount, lenders, until, reply }));
-        answer.await.unwrap_or(LoanOutcome::NobodyLends)
+        answer.await.unwrap_or(LoanOutcome::NoLender)
     }
 
     /// Tells the lender what was used.
--- a/crates/gateway/src/machine_clock.rs
+++ b/crates/gateway/src/machine_clock.rs
@@ -1,16 +1,16 @@
 //! The clock of the machine, which goes on while processes restart and while the machine is suspended.
 
 use stackpost_clock::MachineClock;
-use stackpost_prepaid::{Contact, SteadyTime};
+use stackpost_prepaid::{BootTimestamp, SteadyTime};
 use stackpost_types::Digest;
 
 /// Names the life of the machine: the kernel draws it anew at every start.
 const BOOT_ID_FILE: &str = "/proc/sys/kernel/random/boot_id";
 
 /// This moment in the life of the machine.
-pub(crate) fn machine_time(clock: &MachineClock) -> Contact {
+pub(crate) fn machine_time(clock: &MachineClock) -> BootTimestamp {
     let since_boot = clock.now().since_boot();
-    Contact { boot: boot(), at: SteadyTime(since_boot.as_millis() as u64) }
+    BootTimestamp { boot: boot(), at: SteadyTime(since_boot.as_millis() as u64) }
 }
 
 /// Read once: it can't change while this process lives.
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -2,7 +2,7 @@
 //! reasons and ends are enumerations, nothing comes from a request.
 
 use crate::refusal::Refusal;
-use stackpost_gateway_core::{AttemptEnd, RestChange};
+use stackpost_gateway_core::{AttemptEnd, BackoffChange};
 use stackpost_telemetry::{Counter, Gauge, Histogram, KeyValue, Meter};
 use stackpost_types::Millis;
 use std::time::Duration;
@@ -120,7 +120,7 @@
     }
 
     /// An engine's answer goes to the caller.
-    pub fn on_answer(&self, time_to_head: Duration) {
+    pub fn on_response(&self, time_to_head: Duration) {
         self.answered.add(1, &[]);
         self.head_seconds.record(time_to_head.as_secs_f64(), &[]);
     }
@@ -141,49 +141,49 @@
     }
 
     /// A stream broke off.
-    pub fn on_broken_off(&self) {
+    pub fn on_interrupted(&self) {
         self.broken_off.add(1, &[]);
     }
 
     /// An engine broke an answer off, and has been looked at since.
-    pub fn on_break(&self, lives: bool) {
+    pub fn on_liveness_probe(&self, lives: bool) {
         let engine = if lives { "lives" } else { "ended" };
         self.breaks.add(1, &[KeyValue::new("engine", engine)]);
     }
 
     /// A datagram could not be read.
-    pub fn on_datagram_refused(&self) {
+    pub fn on_malformed_datagram(&self) {
         self.datagrams_refused.add(1, &[]);
     }
 
     /// An engine has asked for rest.
-    pub fn on_rest(&self, change: RestChange) {
+    pub fn on_backoff(&self, change: BackoffChange) {
         self.rests.add(u64::from(change.begins), &[]);
         self.rest_seconds.add(change.added.0 as f64 / 1_000.0, &[]);
     }
 
     /// A header with which an engine asks for something has no value that is known.
-    pub fn on_wish_refused(&self, header: &'static str) {
+    pub fn on_malformed_header(&self, header: &'static str) {
         self.wishes_refused.add(1, &[KeyValue::new("header", header)]);
     }
 
     /// Engines that rest, now and then.
-    pub fn on_resting(&self, engines: usize) {
+    pub fn record_backing_off(&self, engines: usize) {
         self.engines_resting.record(engines as u64, &[]);
     }
 
     /// Engines that state a rate, now and then.
-    pub fn on_limited(&self, engines: usize) {
+    pub fn record_rate_limited(&self, engines: usize) {
         self.engines_limited.record(engines as u64, &[]);
     }
 
     /// A request is sent to an engine that states a rate.
-    pub fn on_sent_to_limited(&self) {
+    pub fn on_sent_to_rate_limited(&self) {
         self.sent_to_limited.add(1, &[]);
     }
 
     /// Another router is asked for a permit.
-    pub fn on_permit_asked(&self) {
+    pub fn on_permit_requested(&self) {
         self.permits_asked.add(1, &[]);
     }
 
@@ -204,12 +204,12 @@
     }
 
     /// Requests that are let in no more, taken now and then.
-    pub fn on_quarantined(&self, requests: usize) {
+    pub fn record_quarantined(&self, requests: usize) {
         self.quarantined.record(requests as u64, &[]);
     }
 
     /// What the router believes, now and then.
-    pub fn on_look(&self, configuration_version: u64, in_touch: bool, engines: usize) {
+    pub fn record_state(&self, configuration_version: u64, in_touch: bool, engines: usize) {
         self.configuration_version.record(configuration_version, &[]);
         self.in_touch.record(u64::from(in_touch), &[]);
         self.engines.record(engines as u64, &[]);
--- a/crates/gateway/src/peer_socket.rs
+++ b/crates/gateway/src/peer_socket.rs
@@ -1,6 +1,6 @@
 //! Datagrams between routers: short words that nobody waits for long, and that may be lost.
 
-use crate::load_exchange::LoadNews;
+use crate::load_exchange::LoadUpdate;
 use crate::metrics::RouterMetrics;
 use crate::permits::PermitMessage;
 use serde::{Deserialize, Serialize};
@@ -18,11 +18,11 @@
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) enum PeerDatagram {
     /// What it has sent to engines.
-    Load(LoadNews),
+    Load(LoadUpdate),
     /// About permits to send requests to engines.
     Permit(PermitMessage),
     /// Engines that ended under requests, each with the time since, while the leader can't be reached.
-    EnginesEnded(Vec<(CrashSighting, Millis)>),
+    EngineCrashes(Vec<(CrashSighting, Millis)>),
 }
 
 /// A router's socket for datagrams.
@@ -69,7 +69,7 @@
     }
 
     fn refuse(&self, metrics: &RouterMetrics, from: SocketAddr, error: &postcard::Error) {
-        metrics.on_datagram_refused();
+        metrics.on_malformed_datagram();
         if let Some(held_back) = self.refused_lines.pass(Instant::now()) {
             let peer = from.to_string();
             log::warn!(step = "datagram", peer = peer.as_str(), held_back = held_back; "{error}");
