--- a/crates/gateway/src/permit_lending.rs
+++ b/crates/gateway/src/permit_lending.rs
@@ -1,6 +1,6 @@
 //! Gives permits to other routers.
 
-use crate::permits::{Answer, Lent, PermitMessage};
+use crate::permits::{LentSlot, PermitMessage, PermitReply};
 use crate::router::Router;
 use stackpost_gateway_core::{EnginePermits, EngineRecord, EngineState, PermitScope};
 use stackpost_types::{BackEndName, Millis, ServiceName, Timestamp};
@@ -11,33 +11,37 @@
     pub(crate) fn on_permit_message(&self, from: SocketAddr, message: PermitMessage) {
         let pool = &self.permits;
         match message {
-            PermitMessage::Ask { token, service, needs_slot, unusable, needed, rates } => {
-                let better = self.better_known(&rates);
-                self.on_rates_told(&rates);
+            PermitMessage::Request { token, service, needs_slot, unusable, needed, rates } => {
+                let better = self.newer_rates(&rates);
+                self.on_rates_received(&rates);
                 let scope = if needs_slot { PermitScope::RateAndSlot } else { PermitScope::Rate };
                 let engine = self.lend(from, token, &service, scope, &unusable, needed);
-                let spent_for =
-                    if engine.is_none() { self.spent_for(&service, &unusable) } else { None };
-                pool.send(from, PermitMessage::Reply { token, engine, spent_for, rates: better });
+                let exhausted_for =
+                    if engine.is_none() { self.exhausted_for(&service, &unusable) } else { None };
+                pool.send(
+                    from,
+                    PermitMessage::Reply { token, engine, exhausted_for, rates: better },
+                );
             }
-            PermitMessage::Reply { token, engine, spent_for, rates } => {
-                let asked = pool.asked.borrow_mut().remove(&token);
+            PermitMessage::Reply { token, engine, exhausted_for, rates } => {
+                let awaiting_reply = pool.awaiting_reply.borrow_mut().remove(&token);
                 let is_lent = engine.is_some();
-                let answer = Answer { engine, spent_for, rates };
+                let answer = PermitReply { engine, exhausted_for, rates };
                 // The request may have given up waiting.
-                let came_late = asked.is_none_or(|asked| asked.send(answer).is_err());
+                let came_late = awaiting_reply
+                    .is_none_or(|awaiting_reply| awaiting_reply.send(answer).is_err());
                 if came_late && is_lent {
                     pool.send(from, PermitMessage::Return { token });
                 }
             }
             PermitMessage::Return { token } => {
                 if let Some(lent) = pool.lent.borrow_mut().remove(&(from, token)) {
-                    pool.give_back(&lent.engine);
+                    pool.release_slot(&lent.engine);
                 }
             }
             PermitMessage::Rates { rates, compare } => {
-                let better = if compare { self.better_known(&rates) } else { Vec::new() };
-                self.on_rates_told(&rates);
+                let better = if compare { self.newer_rates(&rates) } else { Vec::new() };
+                self.on_rates_received(&rates);
                 if !better.is_empty() {
                     pool.send(from, PermitMessage::Rates { rates: better, compare: false });
                 }
@@ -46,14 +50,14 @@
     }
 
     /// Time until this router has a permit by a rate to give; `None` if it owns no engine that would do.
-    fn spent_for(&self, service: &ServiceName, unusable: &[BackEndName]) -> Option<Millis> {
+    fn exhausted_for(&self, service: &ServiceName, unusable: &[BackEndName]) -> Option<Millis> {
         let directory = self.directory.borrow();
         let would_do = |engine: &BackEndName| {
             let record = directory.get(engine);
             record.is_some_and(|record| record.notice.service == *service)
                 && !unusable.contains(engine)
         };
-        self.permits.permits.borrow_mut().next_own(self.now(), would_do)
+        self.permits.permits.borrow_mut().next_owned_permit(self.now(), would_do)
     }
 
     /// Gives a permit for the engine of which this router has most free slots, unless requests of its own wait for one.
@@ -73,7 +77,7 @@
         if pool.lent.borrow().contains_key(&(borrower, token)) {
             return None;
         }
-        let own_wait = pool.is_awaited(service);
+        let own_wait = pool.has_waiters(service);
         let (directory, picker) = (self.directory.borrow(), self.picker.borrow());
         let is_usable = |record: &&EngineRecord| {
             record.notice.service == *service
@@ -92,7 +96,7 @@
         let mut permits = pool.permits.borrow_mut();
         let offers = usable.into_iter().filter_map(|record| {
             let engine = &record.notice.engine;
-            let rests_here = !picker.is_open(now, engine);
+            let rests_here = !picker.is_available(now, engine);
             let gives = self.gives(&mut permits, now, record, scope);
             let free = permits.free_slots(now, record);
             (gives && (rests_here || !own_wait)).then_some((rests_here, free, engine))
@@ -100,7 +104,7 @@
         let (_, _, engine) = offers.max()?;
         permits.take(now, engine, scope);
         if scope == PermitScope::RateAndSlot {
-            let lent = Lent { engine: engine.clone(), until: now + needed };
+            let lent = LentSlot { engine: engine.clone(), until: now + needed };
             pool.lent.borrow_mut().insert((borrower, token), lent);
         }
         Some(engine.clone())
@@ -115,7 +119,8 @@
         engine: &EngineRecord,
         scope: PermitScope,
     ) -> bool {
-        let is_limited = permits.rates().rate(&engine.notice.engine).is_some();
-        (is_limited || scope == PermitScope::RateAndSlot) && permits.has_room(now, engine, scope)
+        let is_rate_limited = permits.rates().rate(&engine.notice.engine).is_some();
+        (is_rate_limited || scope == PermitScope::RateAndSlot)
+            && permits.has_room(now, engine, scope)
     }
 }
--- a/crates/gateway/src/permits.rs
+++ b/crates/gateway/src/permits.rs
@@ -9,8 +9,8 @@
 use crate::router::Router;
 use serde::{Deserialize, Serialize};
 use stackpost_gateway_core::{
-    EngineDirectory, EnginePermits, EngineRecord, EngineState, PermitOutlook, PermitScope,
-    RateChange, RateNews, RateStatement, Standing,
+    EngineDirectory, EnginePermits, EngineRecord, EngineState, PermitAvailability, PermitScope,
+    RateChange, RateStatement, RateUpdate, Standing,
 };
 use stackpost_types::{BackEndName, Millis, RequestRate, ServiceName, Timestamp};
 use std::cell::{Cell, RefCell};
@@ -24,10 +24,10 @@
 /// Longest wait for a lender: some times the way there and back between zones (2 ms), and less than a request waits.
 const ANSWER_TIME: Duration = Duration::from_millis(12);
 /// Routers that one request may ask for a slot: more find few further ones, and each costs two datagrams.
-pub(crate) const MOST_LENDERS: usize = 4;
+pub(crate) const MAX_LENDERS: usize = 4;
 /// Owners of stated rates that one request may ask. Few are enough: an owner that has nothing says until when, so that
 /// requests do not ask it before.
-pub(crate) const MOST_OWNERS: usize = 2;
+pub(crate) const MAX_OWNERS: usize = 2;
 /// Most engines that one datagram names as of no use, so that it fits one packet.
 const MOST_UNUSABLE: usize = 32;
 
@@ -35,7 +35,7 @@
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) enum PermitMessage {
     /// Give me a permit of yours.
-    Ask {
+    Request {
         /// Names the permit among those of the asker.
         token: u64,
         service: ServiceName,
@@ -46,33 +46,33 @@
         /// How long the slot is needed at most.
         needed: Millis,
         /// What the asker knows of the rates of engines that the other router owns.
-        rates: Vec<RateNews>,
+        rates: Vec<RateUpdate>,
     },
-    /// Answer to `Ask`.
+    /// Answer to `Request`.
     Reply {
         token: u64,
         /// The engine, if there is one.
         engine: Option<BackEndName>,
         /// For how long there will be no permit by a rate, if that is known.
-        spent_for: Option<Millis>,
+        exhausted_for: Option<Millis>,
         /// What the asker does not know yet of the rates that it told of.
-        rates: Vec<RateNews>,
+        rates: Vec<RateUpdate>,
     },
     /// The slot is no longer needed.
     Return { token: u64 },
     /// Statements of engines' rates. An owner answers those that it knows better.
-    Rates { rates: Vec<RateNews>, compare: bool },
+    Rates { rates: Vec<RateUpdate>, compare: bool },
 }
 
 /// What a lender answers.
-pub(crate) struct Answer {
+pub(crate) struct PermitReply {
     pub engine: Option<BackEndName>,
-    pub spent_for: Option<Millis>,
-    pub rates: Vec<RateNews>,
+    pub exhausted_for: Option<Millis>,
+    pub rates: Vec<RateUpdate>,
 }
 
 /// A slot that this router has lent.
-pub(crate) struct Lent {
+pub(crate) struct LentSlot {
     pub engine: BackEndName,
     /// When the request is over in any case, should its return be lost.
     pub until: Timestamp,
@@ -84,8 +84,8 @@
     /// Rung when a slot is free again.
     pub freed: Notify,
     waiting: RefCell<HashMap<ServiceName, usize>>,
-    pub lent: RefCell<HashMap<(SocketAddr, u64), Lent>>,
-    pub asked: RefCell<HashMap<u64, oneshot::Sender<Answer>>>,
+    pub lent: RefCell<HashMap<(SocketAddr, u64), LentSlot>>,
+    pub awaiting_reply: RefCell<HashMap<u64, oneshot::Sender<PermitReply>>>,
     next_token: Cell<u64>,
     socket: RefCell<Option<Rc<PeerSocket>>>,
 }
@@ -98,7 +98,7 @@
             freed: Notify::new(),
             waiting: RefCell::default(),
             lent: RefCell::default(),
-            asked: RefCell::default(),
+            awaiting_reply: RefCell::default(),
             next_token: Cell::new(0),
             socket: RefCell::default(),
         }
@@ -130,7 +130,7 @@
     fn drop(&mut self) {
         let pool = &self.router.permits;
         match &self.source {
-            Source::Own(engine) => pool.give_back(engine),
+            Source::Own(engine) => pool.release_slot(engine),
             Source::Borrowed { lender, token } => {
                 pool.send(*lender, PermitMessage::Return { token: *token });
             }
@@ -139,12 +139,12 @@
 }
 
 /// A request that waits for a permit for a service.
-pub(crate) struct Waiting<'a> {
+pub(crate) struct PermitWait<'a> {
     pool: &'a PermitPool,
     service: &'a ServiceName,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for PermitWait<'_> {
     fn drop(&mut self) {
         let mut waiting = self.pool.waiting.borrow_mut();
         if let Some(requests) = waiting.get_mut(self.service) {
@@ -168,13 +168,13 @@
     }
 
     /// An engine of a service has asked for rest.
-    pub fn on_rest(&self, now: Timestamp, service: &ServiceName) {
-        self.permits.borrow_mut().slots().on_rest(now, service);
+    pub fn on_backoff(&self, now: Timestamp, service: &ServiceName) {
+        self.permits.borrow_mut().slots().on_backoff(now, service);
     }
 
     /// Whether what is sent to a service is held to its engines' slots.
-    pub fn holds_slots(&self, now: Timestamp, service: &ServiceName) -> bool {
-        self.permits.borrow_mut().slots().is_held(now, service)
+    pub fn enforces_slots(&self, now: Timestamp, service: &ServiceName) -> bool {
+        self.permits.borrow_mut().slots().is_slot_limited(now, service)
     }
 
     /// Whether this router may send a request to an engine without asking another one.
@@ -194,48 +194,48 @@
     }
 
     /// Whether an engine states a rate.
-    pub fn is_limited(&self, engine: &BackEndName) -> bool {
+    pub fn is_rate_limited(&self, engine: &BackEndName) -> bool {
         self.permits.borrow().rates().rate(engine).is_some()
     }
 
     /// What an engine has stated last.
-    pub fn statement(&self, now: Timestamp, engine: &BackEndName) -> Option<RateNews> {
-        self.permits.borrow().rates().news_of(now, engine)
+    pub fn statement(&self, now: Timestamp, engine: &BackEndName) -> Option<RateUpdate> {
+        self.permits.borrow().rates().update_for(now, engine)
     }
 
     /// Engines that state a rate.
-    pub fn limited_engines(&self) -> usize {
+    pub fn rate_limited_engines(&self) -> usize {
         self.permits.borrow().rates().limited().count()
     }
 
     /// Whether requests wait for a permit for a service: who comes later, or from elsewhere, does not pass them.
-    pub fn is_awaited(&self, service: &ServiceName) -> bool {
+    pub fn has_waiters(&self, service: &ServiceName) -> bool {
         self.waiting.borrow().get(service).is_some_and(|requests| *requests > 0)
     }
 
     /// Counts a request that waits, until what is returned is dropped.
-    pub fn wait<'a>(&'a self, service: &'a ServiceName) -> Waiting<'a> {
+    pub fn wait<'a>(&'a self, service: &'a ServiceName) -> PermitWait<'a> {
         *self.waiting.borrow_mut().entry(service.clone()).or_default() += 1;
-        Waiting { pool: self, service }
+        PermitWait { pool: self, service }
     }
 
     /// Forgets engines that the directory no longer knows, takes back slots whose return was lost, and forgets questions that nobody waits for any more: their caller has gone
     /// and the router that was asked may never answer.
     pub fn forget_old(&self, now: Timestamp, directory: &EngineDirectory) {
         self.permits.borrow_mut().forget_unknown(directory);
-        self.asked.borrow_mut().retain(|_, reply| !reply.is_closed());
-        let is_over = |lent: &Lent| lent.until <= now;
-        let over: Vec<Lent> = self
+        self.awaiting_reply.borrow_mut().retain(|_, reply| !reply.is_closed());
+        let is_over = |lent: &LentSlot| lent.until <= now;
+        let over: Vec<LentSlot> = self
             .lent
             .borrow_mut()
             .extract_if(|_, lent| is_over(lent))
             .map(|(_, lent)| lent)
             .collect();
-        over.iter().for_each(|lent| self.give_back(&lent.engine));
+        over.iter().for_each(|lent| self.release_slot(&lent.engine));
     }
 
-    pub fn give_back(&self, engine: &BackEndName) {
-        self.permits.borrow_mut().slots().give_back(engine);
+    pub fn release_slot(&self, engine: &BackEndName) {
+        self.permits.borrow_mut().slots().release_slot(engine);
         self.freed.notify_waiters();
     }
 
@@ -262,8 +262,8 @@
         let token = pool.next_token.get();
         pool.next_token.set(token.wrapping_add(1));
         let (reply, answer) = oneshot::channel();
-        pool.asked.borrow_mut().insert(token, reply);
-        let question = PermitMessage::Ask {
+        pool.awaiting_reply.borrow_mut().insert(token, reply);
+        let question = PermitMessage::Request {
             token,
             service: service.clone(),
             needs_slot: scope == PermitScope::RateAndSlot,
@@ -272,19 +272,19 @@
             rates: self.rates_owned_by(lender, service),
         };
         pool.send(lender, question);
-        self.metrics.on_permit_asked();
+        self.metrics.on_permit_requested();
         let until = wait_until.min(Instant::now() + ANSWER_TIME);
         let answered = timeout_at(until, answer).await;
-        pool.asked.borrow_mut().remove(&token);
+        pool.awaiting_reply.borrow_mut().remove(&token);
         let Ok(answered) = answered else {
             if until < wait_until {
                 pool.permits.borrow_mut().slots().on_no_answer(self.now(), lender);
             }
             return None;
         };
-        let Answer { engine, spent_for, rates } = answered.ok()?;
-        self.on_rates_told(&rates);
-        if let Some(wait) = spent_for {
+        let PermitReply { engine, exhausted_for, rates } = answered.ok()?;
+        self.on_rates_received(&rates);
+        if let Some(wait) = exhausted_for {
             pool.permits.borrow_mut().on_spent(self.now(), lender, service, wait);
         }
         let engine = engine?;
@@ -292,7 +292,7 @@
         let source = Source::Borrowed { lender, token };
         let is_returned = scope == PermitScope::RateAndSlot;
         let permit = is_returned.then(|| Permit { router: self.clone(), source });
-        if !pool.permits.borrow_mut().counts_from(lender, &engine) {
+        if !pool.permits.borrow_mut().accepts_permit_from(lender, &engine) {
             return None;
         }
         let record = self.directory.borrow().get(&engine).cloned();
@@ -304,20 +304,20 @@
         &self,
         service: &ServiceName,
         tried: &[BackEndName],
-    ) -> PermitOutlook {
+    ) -> PermitAvailability {
         let directory = self.directory.borrow();
-        let open = directory.iter().filter(|record| self.is_open(record, service));
+        let open = directory.iter().filter(|record| self.is_available(record, service));
         let open = open.filter(|record| !tried.contains(&record.notice.engine));
-        self.permits.permits.borrow_mut().outlook(self.now(), open)
+        self.permits.permits.borrow_mut().availability(self.now(), open)
     }
 
     /// Rates of a service's engines that this router owns, together.
     pub(crate) fn owned_rate(&self, service: &ServiceName) -> RequestRate {
         let directory = self.directory.borrow();
-        let is_open = |engine: &BackEndName| {
-            directory.get(engine).is_some_and(|record| self.is_open(record, service))
+        let is_available = |engine: &BackEndName| {
+            directory.get(engine).is_some_and(|record| self.is_available(record, service))
         };
-        self.permits.permits.borrow().owned_rate(is_open)
+        self.permits.permits.borrow().owned_rate(is_available)
     }
 
     /// Routers to ask for a permit for a service, for a request that was sent to `tried`.
@@ -329,16 +329,16 @@
         lot: u64,
     ) -> Vec<SocketAddr> {
         let directory = self.directory.borrow();
-        let open = directory.iter().filter(|record| self.is_open(record, service));
+        let open = directory.iter().filter(|record| self.is_available(record, service));
         let open = open.filter(|record| !tried.contains(&record.notice.engine));
         self.permits.permits.borrow_mut().lenders(self.now(), lot, scope, open)
     }
 
     /// Whether an engine is one of a service and may be asked, as far as it has said itself.
-    fn is_open(&self, record: &EngineRecord, service: &ServiceName) -> bool {
+    fn is_available(&self, record: &EngineRecord, service: &ServiceName) -> bool {
         record.notice.service == *service
             && record.notice.state == EngineState::Ready
-            && self.picker.borrow().is_open(self.now(), &record.notice.engine)
+            && self.picker.borrow().is_available(self.now(), &record.notice.engine)
     }
 
     /// Engines of a service that a request which was sent to `tried` can't use.
@@ -355,7 +355,7 @@
         let (now, picker) = (self.now(), self.picker.borrow());
         let is_silent = self.directory.borrow().is_silent(&engine.notice.engine);
         engine.notice.state == EngineState::Ready
-            && picker.is_open(now, &engine.notice.engine)
+            && picker.is_available(now, &engine.notice.engine)
             && picker.standing(now, engine, is_silent) != Standing::Failing
     }
 }
--- a/crates/gateway/src/refusal.rs
+++ b/crates/gateway/src/refusal.rs
@@ -33,7 +33,7 @@
     /// The key is not known.
     UnknownKey,
     /// Route or key is not known here, but the router may be behind a change.
-    MayBeBehind,
+    ConfigMayBeStale,
     /// A header can't be read.
     Malformed,
     /// The body is too long.
@@ -44,40 +44,40 @@
     BudgetExhausted,
     /// What this router and others in reach hold of the tenant's budget does not cover the request,
     /// and the leader can't be asked.
-    BudgetOutOfReach,
+    BudgetUnavailable,
     /// No engine of the service takes work.
     NoEngine,
     /// The engines have no room.
     EnginesFull,
     /// Every engine of the service has asked for rest.
-    EnginesRest {
-        /// When to come again: the soonest end of a rest, spread ([`after_rest`]).
+    EnginesBackingOff {
+        /// When to come again: the soonest end of a rest, spread ([`retry_after_backoff`]).
         retry_after: Millis,
     },
     /// Every engine of the service states how many requests a second it takes, and has had them.
-    RatesSpent {
+    RateLimitsExhausted {
         /// When to come again: behind those who were told before, at the pace at which permits come.
         retry_after: Millis,
     },
     /// The engines can't be reached.
     Unreachable,
     /// The time is over and the request has not run.
-    TimeOver,
+    DeadlineExceeded,
     /// Engines have ended under this very request, so it is sent to none.
-    EndsEngines {
+    CrashesEngines {
         /// When to come again: once the quarantine is over, or as long as it may still be taken back, soon.
         retry_after: Millis,
     },
     /// The request may have run; its answer is lost.
-    AnswerLost,
+    ResponseLost,
     /// The time is over and the request may have run.
-    TimeOverUnknown,
+    DeadlineExceededUnknown,
 }
 
 /// When a caller should come again whose engines all rest: once the first rest is over (`soonest`), at a moment of
 /// its own (`lot`, any number) within [`RETURN_SPREAD`], so that callers who were refused together do not return
 /// together.
-pub fn after_rest(soonest: Millis, lot: u64) -> Millis {
+pub fn retry_after_backoff(soonest: Millis, lot: u64) -> Millis {
     let spread = Millis(lot % RETURN_SPREAD.0);
     Millis((soonest.0 + spread.0).min(LONGEST_RETRY_AFTER.0))
 }
@@ -90,21 +90,21 @@
             Self::Stopping => "stopping",
             Self::NoRoute => "no_route",
             Self::UnknownKey => "unknown_key",
-            Self::MayBeBehind => "may_be_behind",
+            Self::ConfigMayBeStale => "may_be_behind",
             Self::Malformed => "malformed",
             Self::BodyTooLarge => "body_too_large",
             Self::BodyIncomplete => "body_incomplete",
             Self::BudgetExhausted => "budget_exhausted",
-            Self::BudgetOutOfReach => "budget_out_of_reach",
+            Self::BudgetUnavailable => "budget_out_of_reach",
             Self::NoEngine => "no_engine",
             Self::EnginesFull => "engines_full",
-            Self::EnginesRest { .. } => "engines_rest",
-            Self::RatesSpent { .. } => "rates_spent",
+            Self::EnginesBackingOff { .. } => "engines_rest",
+            Self::RateLimitsExhausted { .. } => "rates_spent",
             Self::Unreachable => "unreachable",
-            Self::TimeOver => "time_over",
-            Self::EndsEngines { .. } => "ends_engines",
-            Self::AnswerLost => "answer_lost",
-            Self::TimeOverUnknown => "time_over_unknown",
+            Self::DeadlineExceeded => "time_over",
+            Self::CrashesEngines { .. } => "ends_engines",
+            Self::ResponseLost => "answer_lost",
+            Self::DeadlineExceededUnknown => "time_over_unknown",
         }
     }
 
@@ -115,19 +115,19 @@
             Self::UnknownKey => StatusCode::UNAUTHORIZED,
             Self::Malformed | Self::BodyIncomplete => StatusCode::BAD_REQUEST,
             Self::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
-            Self::BudgetExhausted | Self::BudgetOutOfReach => StatusCode::TOO_MANY_REQUESTS,
+            Self::BudgetExhausted | Self::BudgetUnavailable => StatusCode::TOO_MANY_REQUESTS,
             Self::NotConfigured
             | Self::Stopping
-            | Self::MayBeBehind
+            | Self::ConfigMayBeStale
             | Self::NoEngine
             | Self::EnginesFull
-            | Self::EnginesRest { .. }
-            | Self::RatesSpent { .. }
+            | Self::EnginesBackingOff { .. }
+            | Self::RateLimitsExhausted { .. }
             | Self::Unreachable
-            | Self::EndsEngines { .. }
-            | Self::TimeOver => StatusCode::SERVICE_UNAVAILABLE,
-            Self::AnswerLost => StatusCode::BAD_GATEWAY,
-            Self::TimeOverUnknown => StatusCode::GATEWAY_TIMEOUT,
+            | Self::CrashesEngines { .. }
+            | Self::DeadlineExceeded => StatusCode::SERVICE_UNAVAILABLE,
+            Self::ResponseLost => StatusCode::BAD_GATEWAY,
+            Self::DeadlineExceededUnknown => StatusCode::GATEWAY_TIMEOUT,
         }
     }
 
@@ -135,22 +135,22 @@
     fn retry_after(self) -> Option<Millis> {
         match self {
             Self::NotConfigured => Some(CONFIGURED_WITHIN),
-            Self::MayBeBehind => Some(Millis(400)),
-            Self::NoEngine | Self::Unreachable | Self::TimeOver => Some(Millis(200)),
+            Self::ConfigMayBeStale => Some(Millis(400)),
+            Self::NoEngine | Self::Unreachable | Self::DeadlineExceeded => Some(Millis(200)),
             Self::Stopping => Some(Millis(50)),
             Self::EnginesFull => Some(Millis(100)),
-            Self::EnginesRest { retry_after }
-            | Self::RatesSpent { retry_after }
-            | Self::EndsEngines { retry_after } => Some(retry_after),
+            Self::EnginesBackingOff { retry_after }
+            | Self::RateLimitsExhausted { retry_after }
+            | Self::CrashesEngines { retry_after } => Some(retry_after),
             Self::BudgetExhausted => Some(NEXT_ALLOTMENT_WITHIN),
-            Self::BudgetOutOfReach => Some(LEADER_BACK_WITHIN),
+            Self::BudgetUnavailable => Some(LEADER_BACK_WITHIN),
             _ => None,
         }
     }
 
     /// Whether it is certain that the request did not run.
     pub fn is_not_run(self) -> bool {
-        !matches!(self, Self::AnswerLost | Self::TimeOverUnknown)
+        !matches!(self, Self::ResponseLost | Self::DeadlineExceededUnknown)
     }
 
     /// The answer to the caller.
@@ -158,7 +158,7 @@
         let outcome = if self.is_not_run() { "not_run" } else { "unknown" };
         let code = self.code();
         let text = format!("{{\"error\":{{\"code\":\"{code}\",\"outcome\":\"{outcome}\"}}}}\n");
-        let mut response = Response::new(GatewayBody::whole(text));
+        let mut response = Response::new(GatewayBody::buffered(text));
         *response.status_mut() = self.status();
         let headers = response.headers_mut();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -1,9 +1,9 @@
 //! Passes a stream of events on to the caller, at another engine if the first one breaks off.
 
-use crate::attempt::{EngineAnswer, EngineHold};
-use crate::body::{BodyBroken, GatewayBody};
-use crate::decision_log::{self, BreakPoint};
-use crate::request::{Progress, RequestContext, response_of};
+use crate::attempt::{ActiveAttempt, EngineResponse};
+use crate::body::{GatewayBody, TruncatedBody};
+use crate::decision_log::{self, InterruptionPoint};
+use crate::request::{Progress, RequestContext, build_response};
 use crate::reservation::Reservation;
 use bytes::Bytes;
 use http_body_util::BodyExt;
@@ -21,13 +21,13 @@
 /// A resumable stream that has paused for this part of its gap objective is taken up elsewhere.
 const GAP_PATIENCE_PERCENT: u64 = 350;
 
-type PieceSender = mpsc::Sender<Result<Bytes, BodyBroken>>;
+type PieceSender = mpsc::Sender<Result<Bytes, TruncatedBody>>;
 
 /// A stream ended before its first event.
 pub(crate) struct NoFirstEvent;
 
 /// A stream whose first event is here.
-pub(crate) struct BegunStream {
+pub(crate) struct StartedStream {
     head: response::Parts,
     source: StreamSource,
     first: Option<Event>,
@@ -37,7 +37,7 @@
 struct StreamSource {
     body: Incoming,
     headers: HeaderMap,
-    hold: EngineHold,
+    attempt: ActiveAttempt,
     splitter: EventSplitter,
 }
 
@@ -72,28 +72,29 @@
 }
 
 /// Waits for the first event. Until it is here nothing has been promised to the caller.
-pub(crate) async fn begin(
-    answer: EngineAnswer,
+pub(crate) async fn start_stream(
+    answer: EngineResponse,
     context: &RequestContext,
-) -> Result<BegunStream, NoFirstEvent> {
-    let EngineAnswer { head, body, hold } = answer;
+) -> Result<StartedStream, NoFirstEvent> {
+    let EngineResponse { head, body, attempt } = answer;
     let headers = head.headers.clone();
-    let mut source = StreamSource { body, headers, hold, splitter: EventSplitter::default() };
+    let mut source = StreamSource { body, headers, attempt, splitter: EventSplitter::default() };
     match timeout_at(context.deadline.timer(), source.next()).await {
         Ok(NextEvent::Event(event)) => {
-            let took = source.hold.on_first_event();
-            decision_log::first_event(context, &source.hold, took);
-            Ok(BegunStream { head, source, first: Some(event) })
+            let took = source.attempt.on_first_event();
+            decision_log::late_first_event(context, &source.attempt, took);
+            Ok(StartedStream { head, source, first: Some(event) })
         }
-        Ok(NextEvent::End) => Ok(BegunStream { head, source, first: None }),
+        Ok(NextEvent::End) => Ok(StartedStream { head, source, first: None }),
         Ok(NextEvent::Broken) => {
-            let noted = context.on_broken_off(source.hold.name(), BreakPoint::FirstEvent);
-            source.hold.finish(AttemptEnd::Broken, None);
+            let noted =
+                context.on_interrupted(source.attempt.name(), InterruptionPoint::FirstEvent);
+            source.attempt.finish(AttemptEnd::Broken, None);
             noted.wait().await;
             Err(NoFirstEvent)
         }
         Ok(NextEvent::Paused) | Err(_) => {
-            source.hold.finish(AttemptEnd::Broken, None);
+            source.attempt.finish(AttemptEnd::Broken, None);
             Err(NoFirstEvent)
         }
     }
@@ -102,15 +103,15 @@
 /// The answer to the caller; the rest of the stream follows on a task of its own.
 pub(crate) fn respond(
     context: RequestContext,
-    begun: BegunStream,
+    begun: StartedStream,
     mut progress: Progress,
 ) -> Response<GatewayBody> {
-    progress.has_begun = true;
+    progress.response_started = true;
     let (sender, pieces) = mpsc::channel(PIECES_AHEAD);
-    let BegunStream { head, source, first } = begun;
+    let StartedStream { head, source, first } = begun;
     let relay = Relay { context, progress, sender, last_event: None, event_at: Instant::now() };
     tokio::task::spawn_local(relay.run(source, first));
-    response_of(head, GatewayBody::Pieces(pieces))
+    build_response(head, GatewayBody::Streamed(pieces))
 }
 
 struct Relay {
@@ -125,7 +126,7 @@
 /// Why passing on has stopped.
 enum Stopped {
     CallerGone,
-    TimeOver,
+    DeadlineExceeded,
 }
 
 impl Relay {
@@ -138,7 +139,7 @@
         loop {
             match self.next_of(&mut source).await {
                 Err(Stopped::CallerGone) => return,
-                Err(Stopped::TimeOver) => return self.break_off("time over").await,
+                Err(Stopped::DeadlineExceeded) => return self.break_off("time over").await,
                 Ok(NextEvent::Event(event)) => {
                     self.note_pause(&source);
                     if self.pass(event).await.is_err() {
@@ -147,15 +148,16 @@
                 }
                 Ok(NextEvent::End) => {
                     self.context.reservation.iter().for_each(Reservation::on_complete);
-                    self.context.on_ended_well();
-                    let StreamSource { headers, hold, .. } = source;
-                    return hold.finish(AttemptEnd::Answered, Some(&headers));
+                    self.context.on_request_succeeded();
+                    let StreamSource { headers, attempt, .. } = source;
+                    return attempt.finish(AttemptEnd::Answered, Some(&headers));
                 }
                 Ok(end @ (NextEvent::Broken | NextEvent::Paused)) => {
                     let noted = matches!(end, NextEvent::Broken).then(|| {
-                        self.context.on_broken_off(source.hold.name(), BreakPoint::Stream)
+                        self.context
+                            .on_interrupted(source.attempt.name(), InterruptionPoint::Stream)
                     });
-                    source.hold.finish(AttemptEnd::Broken, None);
+                    source.attempt.finish(AttemptEnd::Broken, None);
                     if let Some(noted) = noted {
                         noted.wait().await;
                     }
@@ -176,7 +178,7 @@
             biased;
             next = timeout_at(until, source.next()) => match next {
                 Ok(next) => Ok(next),
-                Err(_) if until >= self.context.deadline.timer() => Err(Stopped::TimeOver),
+                Err(_) if until >= self.context.deadline.timer() => Err(Stopped::DeadlineExceeded),
                 Err(_) => Ok(NextEvent::Paused),
             },
             () = self.sender.closed() => Err(Stopped::CallerGone),
@@ -186,7 +188,7 @@
     fn gap_until(&self) -> Instant {
         let route = &self.context.route;
         let attempts_left = (self.progress.tried.len() as u32) < route.max_attempts;
-        if !route.kind.may_repeat() || !attempts_left {
+        if !route.kind.may_retry() || !attempts_left {
             return self.context.deadline.timer();
         }
         let objective = Duration::from_millis(self.context.gap_objective().0);
@@ -198,7 +200,7 @@
         let pause = self.event_at.elapsed();
         self.event_at = Instant::now();
         if pause.as_millis() as u64 > self.context.gap_objective().0 {
-            decision_log::long_pause(&self.context, &source.hold, pause);
+            decision_log::long_pause(&self.context, &source.attempt, pause);
         }
     }
 
@@ -213,7 +215,7 @@
         match timeout_at(self.context.deadline.timer(), sending).await {
             Ok(Ok(())) => Ok(()),
             Ok(Err(_)) => Err(Stopped::CallerGone),
-            Err(_) => Err(Stopped::TimeOver),
+            Err(_) => Err(Stopped::DeadlineExceeded),
         }
     }
 
@@ -222,8 +224,8 @@
         let last_event = self.last_event?;
         self.progress.may_have_run = true;
         self.context.router.metrics.on_resumed();
-        while self.context.may_go_on(&self.progress) {
-            let chosen = self.context.choose(&self.progress).await?;
+        while self.context.may_retry(&self.progress) {
+            let chosen = self.context.select_engine(&self.progress).await?;
             log::info!(
                 request = self.context.payload.caller.id.as_str(),
                 engine = chosen.choice.engine.notice.engine.as_str(),
@@ -235,16 +237,16 @@
                 answer = attempt => answer,
                 () = self.sender.closed() => return None,
             };
-            if let Some(EngineAnswer { head, body, hold }) = answer {
+            if let Some(EngineResponse { head, body, attempt }) = answer {
                 if head.status != hyper::StatusCode::OK {
-                    hold.finish(AttemptEnd::EngineError, None);
+                    attempt.finish(AttemptEnd::EngineError, None);
                     continue;
                 }
                 let headers = head.headers;
                 return Some(StreamSource {
                     body,
                     headers,
-                    hold,
+                    attempt,
                     splitter: EventSplitter::default(),
                 });
             }
@@ -253,24 +255,24 @@
     }
 
     async fn break_off(self, reason: &str) {
-        self.context.router.metrics.on_broken_off();
+        self.context.router.metrics.on_interrupted();
         log::info!(
             request = self.context.payload.caller.id.as_str(),
             reason = reason;
             "stream broken off"
         );
         // The caller may have gone meanwhile.
-        let _ = self.sender.send(Err(BodyBroken)).await;
+        let _ = self.sender.send(Err(TruncatedBody)).await;
     }
 }
 
 /// An answer that is too large to be gathered.
-pub(crate) struct LargeAnswer {
+pub(crate) struct LargeResponse {
     pub head: response::Parts,
     /// What has come in.
     pub start: Bytes,
     pub body: Incoming,
-    pub hold: EngineHold,
+    pub attempt: ActiveAttempt,
 }
 
 /// How passing on a large answer has ended.
@@ -282,9 +284,12 @@
 }
 
 /// Passes on a large answer; its rest follows on a task of its own.
-pub(crate) fn pass_on(context: RequestContext, answer: LargeAnswer) -> Response<GatewayBody> {
+pub(crate) fn forward_large(
+    context: RequestContext,
+    answer: LargeResponse,
+) -> Response<GatewayBody> {
     let (sender, pieces) = mpsc::channel(PIECES_AHEAD);
-    let LargeAnswer { head, start, body, hold } = answer;
+    let LargeResponse { head, start, body, attempt } = answer;
     let failed = head.status.is_server_error();
     tokio::task::spawn_local(async move {
         let passing = timeout_at(context.deadline.timer(), pass_rest(&sender, start, body));
@@ -295,20 +300,20 @@
         match passed {
             Ok(PassedOn::Whole) => {
                 if !failed {
-                    context.on_ended_well();
+                    context.on_request_succeeded();
                 }
-                return hold.finish(AttemptEnd::Answered, None);
+                return attempt.finish(AttemptEnd::Answered, None);
             }
             Ok(PassedOn::CallerGone) => return,
             Ok(PassedOn::Broken) => {
-                context.on_broken_off(hold.name(), BreakPoint::Body).wait().await
+                context.on_interrupted(attempt.name(), InterruptionPoint::Body).wait().await
             }
             Err(_) => {}
         }
         // The caller may have gone meanwhile.
-        let _ = sender.send(Err(BodyBroken)).await;
+        let _ = sender.send(Err(TruncatedBody)).await;
     });
-    response_of(head, GatewayBody::Pieces(pieces))
+    build_response(head, GatewayBody::Streamed(pieces))
 }
 
 async fn pass_rest(sender: &PieceSender, start: Bytes, mut body: Incoming) -> PassedOn {
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -1,17 +1,17 @@
 //! Sees one request through to the head of its answer.
 
 use crate::attempt::{
-    self, AttemptResult, Chosen, EngineAnswer, Payload, strip_connection_headers,
+    self, AttemptResult, EngineResponse, Payload, SelectedEngine, strip_connection_headers,
 };
 use crate::body::GatewayBody;
-use crate::choose::longest_permit_wait;
 use crate::deadline::Deadline;
-use crate::decision_log::BreakPoint;
-use crate::dialect::{CallerRequest, EngineAddressing};
+use crate::decision_log::InterruptionPoint;
+use crate::header_codec::{CallerRequest, EngineRequestHeaders};
 use crate::refusal::Refusal;
-use crate::relay::{self, LargeAnswer};
-use crate::reservation::{Order, Reservation};
+use crate::relay::{self, LargeResponse};
+use crate::reservation::{Reservation, ReservationRequest};
 use crate::router::Router;
+use crate::select_engine::max_permit_wait;
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
@@ -34,7 +34,7 @@
 /// Engines that may be tried without reaching any of them.
 const MOST_UNREACHABLE: u32 = 4;
 /// Largest answer that is gathered before it is passed on.
-pub(crate) const GATHER_LIMIT: usize = 256 * 1024;
+pub(crate) const BUFFER_LIMIT_BYTES: usize = 256 * 1024;
 /// Wait of callers that do not say how long they wait.
 const DEFAULT_WAIT: Millis = Millis(15_000);
 
@@ -67,20 +67,20 @@
     /// Whether an engine may have run it.
     pub may_have_run: bool,
     /// Whether the caller has had the beginning of an answer.
-    pub has_begun: bool,
+    pub response_started: bool,
     /// An engine's own failure, given to the caller if nothing better comes.
-    pub failure: Option<WholeAnswer>,
+    pub failure: Option<BufferedResponse>,
 }
 
 impl Progress {
     /// Engines that are not to be asked again, reached or not.
-    pub fn all(&self) -> Vec<BackEndName> {
+    pub fn excluded_engines(&self) -> Vec<BackEndName> {
         self.tried.iter().chain(&self.unreachable).cloned().collect()
     }
 }
 
 /// An engine's answer that has come in whole.
-pub(crate) struct WholeAnswer {
+pub(crate) struct BufferedResponse {
     head: hyper::http::response::Parts,
     body: Bytes,
 }
@@ -89,7 +89,7 @@
 pub(crate) async fn serve(router: Rc<Router>, request: Request<Incoming>) -> Response<GatewayBody> {
     let arrived = Instant::now();
     let (head, body) = request.into_parts();
-    let caller = match router.dialect.read_request(&head.headers) {
+    let caller = match router.header_codec.read_request(&head.headers) {
         Ok(caller) => caller,
         Err(error) => {
             log::info!("refused: {error}");
@@ -100,7 +100,7 @@
     let recorded_by = router.clone();
     match answer(router, head, body, caller, arrived).await {
         Ok(response) => {
-            recorded_by.metrics.on_answer(arrived.elapsed());
+            recorded_by.metrics.on_response(arrived.elapsed());
             response
         }
         Err(refusal) => {
@@ -126,7 +126,7 @@
 ) -> Result<Response<GatewayBody>, Refusal> {
     let table = router.table().ok_or(Refusal::NotConfigured)?;
     let (route, tenant) = admit(&router, &table, &head, caller.key.as_deref())?;
-    if router.takes_no_more() {
+    if router.rejects_new_requests() {
         return Err(Refusal::Stopping);
     }
     let (route, tenant) = (route.clone(), tenant.cloned());
@@ -135,7 +135,7 @@
         Deadline::after(Duration::from_millis(wait.0.min(route.timeout.0)), router.clock.clone());
     let limit = table.config().limits.max_body_bytes;
     let reading = timeout_at(deadline.timer(), read_body(body, limit));
-    let body = reading.await.map_err(|_| Refusal::TimeOver)??;
+    let body = reading.await.map_err(|_| Refusal::DeadlineExceeded)??;
     let service = route.service_for(&caller.id).clone();
     router.retry_budget.borrow_mut().note_request(router.now(), &service);
     let mut headers = head.headers;
@@ -143,7 +143,7 @@
     headers.remove(header::CONTENT_LENGTH);
     headers.remove(header::EXPECT);
     let payload = Payload { method: head.method, uri: head.uri, headers, body, caller };
-    let permit_wait_left = Cell::new(longest_permit_wait(&route));
+    let permit_wait_left = Cell::new(max_permit_wait(&route));
     let mut context = RequestContext {
         router,
         table,
@@ -157,9 +157,9 @@
         permit_wait_left,
     };
     context.refuse_if_quarantined()?;
-    context.refuse_if_nobody_may_serve()?;
+    context.refuse_if_unservable()?;
     context.refuse_if_shed()?;
-    context.refuse_if_rates_are_spent()?;
+    context.refuse_if_rate_limited()?;
     context.reservation = context.reserve().await?;
     // The wait for tokens may have outlasted the news that the request ends engines.
     context.refuse_if_quarantined()?;
@@ -174,7 +174,7 @@
 ) -> Result<(&'a Route, Option<&'a Tenant>), Refusal> {
     let host = host(&head.uri, &head.headers);
     let final_only_in_touch =
-        |refusal| if router.in_touch() { refusal } else { Refusal::MayBeBehind };
+        |refusal| if router.in_touch() { refusal } else { Refusal::ConfigMayBeStale };
     match table.admit(host, head.uri.path(), key) {
         Admission::NoRoute => Err(final_only_in_touch(Refusal::NoRoute)),
         Admission::UnknownKey => Err(final_only_in_touch(Refusal::UnknownKey)),
@@ -192,17 +192,17 @@
     if body.size_hint().lower() > limit as u64 {
         return Err(Refusal::BodyTooLarge);
     }
-    let mut whole = BytesMut::new();
+    let mut buffered = BytesMut::new();
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|_| Refusal::BodyIncomplete)?;
         if let Ok(data) = frame.into_data() {
-            if whole.len() + data.len() > limit {
+            if buffered.len() + data.len() > limit {
                 return Err(Refusal::BodyTooLarge);
             }
-            whole.extend_from_slice(&data);
+            buffered.extend_from_slice(&data);
         }
     }
-    Ok(whole.freeze())
+    Ok(buffered.freeze())
 }
 
 impl RequestContext {
@@ -213,7 +213,7 @@
     }
 
     /// A number that differs from request to request.
-    pub fn lot(&self) -> u64 {
+    pub fn request_hash(&self) -> u64 {
         Digest::of(&[self.payload.caller.id.as_bytes()]).to_u64()
     }
 
@@ -225,7 +225,7 @@
         let Some(tenant) = self.tenant.as_ref().filter(|tenant| tenant.prepaid.is_some()) else {
             return Ok(None);
         };
-        let order = Order {
+        let order = ReservationRequest {
             request: &self.payload.caller.id,
             generation,
             tokens_per_event: self.tokens_per_event(),
@@ -243,7 +243,7 @@
     fn out_of_reach(&self, refusal: Refusal) -> Refusal {
         let out_of_touch = !self.router.in_touch();
         match refusal {
-            Refusal::BudgetExhausted if out_of_touch => Refusal::BudgetOutOfReach,
+            Refusal::BudgetExhausted if out_of_touch => Refusal::BudgetUnavailable,
             other => other,
         }
     }
@@ -257,28 +257,28 @@
     async fn run(self) -> Result<Response<GatewayBody>, Refusal> {
         let mut progress = Progress::default();
         loop {
-            let Some(chosen) = self.choose(&progress).await else {
+            let Some(chosen) = self.select_engine(&progress).await else {
                 return self.give_up(progress);
             };
             let Some(answer) = self.attempt(chosen, &mut progress, None).await else {
-                if self.may_go_on(&progress) {
+                if self.may_retry(&progress) {
                     continue;
                 }
                 return self.give_up(progress);
             };
             if is_event_stream(&answer) {
-                match relay::begin(answer, &self).await {
+                match relay::start_stream(answer, &self).await {
                     Ok(begun) => return Ok(relay::respond(self, begun, progress)),
                     Err(relay::NoFirstEvent) => progress.may_have_run = true,
                 }
             } else {
                 match self.gather(answer, &mut progress).await {
                     Gathered::Final(response) => return Ok(response),
-                    Gathered::Large(answer) => return Ok(relay::pass_on(self, *answer)),
+                    Gathered::Large(answer) => return Ok(relay::forward_large(self, *answer)),
                     Gathered::Failed => {}
                 }
             }
-            if !self.may_go_on(&progress) {
+            if !self.may_retry(&progress) {
                 return self.give_up(progress);
             }
         }
@@ -287,20 +287,20 @@
     /// Sends the request to an engine. `None` if no answer will come of it.
     pub async fn attempt(
         &self,
-        chosen: Chosen,
+        chosen: SelectedEngine,
         progress: &mut Progress,
         last_event: Option<u64>,
-    ) -> Option<EngineAnswer> {
+    ) -> Option<EngineResponse> {
         let name = chosen.choice.engine.notice.engine.clone();
-        let wait = Millis(self.deadline.left().as_millis() as u64);
+        let wait = Millis(self.deadline.remaining().as_millis() as u64);
         let tenant = self.tenant.as_ref();
-        let addressing = EngineAddressing {
+        let addressing = EngineRequestHeaders {
             engine: &name,
             tenant: tenant.map(|tenant| &tenant.name),
             wait,
             priority: self.priority(),
             last_event: last_event.or(self.payload.caller.last_event),
-            hide_key: self.table.config().tenants.is_some(),
+            strip_key: self.table.config().tenants.is_some(),
         };
         let was_sent = Cell::new(false);
         let on_sent = || {
@@ -312,7 +312,7 @@
             chosen,
             &self.payload,
             &addressing,
-            !self.route.kind.may_repeat(),
+            !self.route.kind.may_retry(),
             self.head_until(progress),
             on_sent,
         )
@@ -324,12 +324,12 @@
             }
             AttemptResult::Unreachable => progress.unreachable.push(name),
             AttemptResult::NotRun => progress.tried.push(name),
-            AttemptResult::BrokenOff => {
-                self.on_broken_off(&name, BreakPoint::Head).wait().await;
+            AttemptResult::Interrupted => {
+                self.on_interrupted(&name, InterruptionPoint::Head).wait().await;
                 progress.tried.push(name);
                 progress.may_have_run = true;
             }
-            AttemptResult::Spoiled | AttemptResult::NoHeadInTime => {
+            AttemptResult::InvalidResponse | AttemptResult::HeadTimeout => {
                 progress.tried.push(name);
                 progress.may_have_run = true;
             }
@@ -344,12 +344,12 @@
     /// its time is over, as long as another attempt is allowed.
     fn head_until(&self, progress: &Progress) -> Instant {
         let last = progress.tried.len() as u32 + 1 >= self.route.max_attempts;
-        if last || !self.route.kind.may_repeat() {
+        if last || !self.route.kind.may_retry() {
             return self.deadline.timer();
         }
         let now = Instant::now();
         let patience = Duration::from_millis(self.route.objective.0 * PATIENCE_PERCENT / 100);
-        let half = self.deadline.left() / 2;
+        let half = self.deadline.remaining() / 2;
         now + patience.min(half)
     }
 
@@ -359,11 +359,11 @@
     }
 
     /// Whether another attempt is allowed and makes sense. Counts it if so.
-    pub fn may_go_on(&self, progress: &Progress) -> bool {
-        if progress.may_have_run && !self.route.kind.may_repeat() {
+    pub fn may_retry(&self, progress: &Progress) -> bool {
+        if progress.may_have_run && !self.route.kind.may_retry() {
             return false;
         }
-        if self.deadline.is_over()
+        if self.deadline.is_expired()
             || self.is_quarantined()
             || progress.unreachable.len() as u32 >= MOST_UNREACHABLE
             || progress.tried.len() as u32 >= self.route.max_attempts
@@ -372,7 +372,7 @@
         }
         let arrives_again = !progress.tried.is_empty();
         !arrives_again
-            || self.router.retry_budget.borrow_mut().try_repeat(self.router.now(), &self.service)
+            || self.router.retry_budget.borrow_mut().try_retry(self.router.now(), &self.service)
     }
 
     /// The final answer of a request that no engine answers any more.
@@ -380,16 +380,16 @@
         if let Some(failure) = progress.failure.take() {
             return Ok(failure.into_response());
         }
-        let time_is_over = self.deadline.is_over();
+        let time_is_over = self.deadline.is_expired();
         if !progress.may_have_run && !time_is_over {
             // The engines that were asked may have been the last ones that did not rest.
-            self.refuse_if_nobody_may_serve()?;
-            self.refuse_if_rates_are_spent()?;
+            self.refuse_if_unservable()?;
+            self.refuse_if_rate_limited()?;
         }
         Err(match (progress.may_have_run, time_is_over) {
-            (true, true) => Refusal::TimeOverUnknown,
-            (true, false) => Refusal::AnswerLost,
-            (false, true) => Refusal::TimeOver,
+            (true, true) => Refusal::DeadlineExceededUnknown,
+            (true, false) => Refusal::ResponseLost,
+            (false, true) => Refusal::DeadlineExceeded,
             (false, false) if progress.tried.is_empty() && !progress.unreachable.is_empty() => {
                 Refusal::Unreachable
             }
@@ -399,15 +399,15 @@
     }
 
     /// Gathers an answer that is no stream, so that one that breaks off can be replaced.
-    async fn gather(&self, answer: EngineAnswer, progress: &mut Progress) -> Gathered {
-        let EngineAnswer { head, mut body, hold } = answer;
-        let mut whole = BytesMut::new();
+    async fn gather(&self, answer: EngineResponse, progress: &mut Progress) -> Gathered {
+        let EngineResponse { head, mut body, attempt } = answer;
+        let mut buffered = BytesMut::new();
         let reading = async {
             while let Some(frame) = body.frame().await {
                 if let Ok(data) = frame.map_err(|_| ())?.into_data() {
-                    whole.extend_from_slice(&data);
+                    buffered.extend_from_slice(&data);
                 }
-                if whole.len() > GATHER_LIMIT {
+                if buffered.len() > BUFFER_LIMIT_BYTES {
                     return Ok(false);
                 }
             }
@@ -416,33 +416,33 @@
         match timeout_at(self.deadline.timer(), reading).await {
             Ok(Ok(true)) => {}
             Ok(Ok(false)) => {
-                let start = whole.freeze();
-                return Gathered::Large(Box::new(LargeAnswer { head, start, body, hold }));
+                let start = buffered.freeze();
+                return Gathered::Large(Box::new(LargeResponse { head, start, body, attempt }));
             }
             Ok(Err(())) => {
-                let noted = self.on_broken_off(hold.name(), BreakPoint::Body);
-                hold.finish(AttemptEnd::Broken, None);
+                let noted = self.on_interrupted(attempt.name(), InterruptionPoint::Body);
+                attempt.finish(AttemptEnd::Broken, None);
                 noted.wait().await;
                 progress.may_have_run = true;
                 return Gathered::Failed;
             }
             Err(_) => {
-                hold.finish(AttemptEnd::Broken, None);
+                attempt.finish(AttemptEnd::Broken, None);
                 progress.may_have_run = true;
                 return Gathered::Failed;
             }
         }
         let failed = head.status.is_server_error();
         let end = if failed { AttemptEnd::EngineError } else { AttemptEnd::Answered };
-        hold.finish(end, Some(&head.headers));
-        let whole = WholeAnswer { head, body: whole.freeze() };
+        attempt.finish(end, Some(&head.headers));
+        let buffered = BufferedResponse { head, body: buffered.freeze() };
         if failed {
             progress.may_have_run = true;
-            progress.failure = Some(whole);
+            progress.failure = Some(buffered);
             return Gathered::Failed;
         }
-        self.on_ended_well();
-        Gathered::Final(whole.into_response())
+        self.on_request_succeeded();
+        Gathered::Final(buffered.into_response())
     }
 }
 
@@ -450,19 +450,19 @@
     /// The answer for the caller.
     Final(Response<GatewayBody>),
     /// The answer for the caller, of which more is to come.
-    Large(Box<LargeAnswer>),
+    Large(Box<LargeResponse>),
     /// The attempt has failed; the engine's own failure, if any, is kept.
     Failed,
 }
 
-impl WholeAnswer {
+impl BufferedResponse {
     fn into_response(self) -> Response<GatewayBody> {
-        response_of(self.head, GatewayBody::whole(self.body))
+        build_response(self.head, GatewayBody::buffered(self.body))
     }
 }
 
 /// The engine's head with another body.
-pub(crate) fn response_of(
+pub(crate) fn build_response(
     mut head: hyper::http::response::Parts,
     body: GatewayBody,
 ) -> Response<GatewayBody> {
@@ -472,7 +472,7 @@
     Response::from_parts(head, body)
 }
 
-fn is_event_stream(answer: &EngineAnswer) -> bool {
+fn is_event_stream(answer: &EngineResponse) -> bool {
     let content_type = answer.head.headers.get(header::CONTENT_TYPE);
     answer.head.status == StatusCode::OK
         && content_type.is_some_and(|value| value.as_bytes().starts_with(b"text/event-stream"))
--- a/crates/gateway/src/reservation.rs
+++ b/crates/gateway/src/reservation.rs
@@ -1,7 +1,7 @@
 //! Tokens set aside for one request, or for one of another router.
 
 use crate::decision_log;
-use crate::dialect::Generation;
+use crate::header_codec::Generation;
 use crate::loans::{Loan, LoanOutcome};
 use crate::refusal::Refusal;
 use crate::router::Router;
@@ -42,7 +42,7 @@
     pub async fn make(
         router: &Rc<Router>,
         tenant: &TenantName,
-        order: Order<'_>,
+        order: ReservationRequest<'_>,
         wait_until: Instant,
     ) -> Result<Self, Refusal> {
         let loan = order.set_aside(router, tenant, wait_until).await?;
@@ -78,13 +78,13 @@
     }
 
     fn used(&self) -> Tokens {
-        let most = self.generation.most();
+        let max_cost = self.generation.max_cost();
         match self.usage.get() {
             Usage::None => Tokens::ZERO,
-            Usage::Uncertain => most,
+            Usage::Uncertain => max_cost,
             Usage::Counted => {
                 let generated = Tokens(self.events.get() * self.tokens_per_event);
-                (self.generation.prompt + generated).min(most)
+                (self.generation.prompt + generated).min(max_cost)
             }
         }
     }
@@ -92,22 +92,22 @@
 
 impl Drop for Reservation {
     fn drop(&mut self) {
-        let most = self.generation.most();
+        let max_cost = self.generation.max_cost();
         let used = self.used();
         self.router.metrics.on_settled(used.0);
         if let Some(loan) = self.loan {
-            return self.router.loan_desk.settle(loan, used);
+            return self.router.loan_handle.settle(loan, used);
         }
-        self.router.wallet.borrow_mut().settle(&self.tenant, most, used);
-        if used < most {
-            self.router.wallet_grown.notify_waiters();
+        self.router.wallet.borrow_mut().settle(&self.tenant, max_cost, used);
+        if used < max_cost {
+            self.router.wallet_refilled.notify_waiters();
         }
     }
 }
 
 /// What a request wants to be set aside.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Order<'a> {
+pub(crate) struct ReservationRequest<'a> {
     /// The request's id, for logs.
     pub request: &'a str,
     /// What it generates.
@@ -116,14 +116,14 @@
     pub tokens_per_event: u64,
 }
 
-impl Order<'_> {
+impl ReservationRequest<'_> {
     async fn set_aside(
         &self,
         router: &Router,
         tenant: &TenantName,
         wait_until: Instant,
     ) -> Result<Option<Loan>, Refusal> {
-        let amount = self.generation.most();
+        let amount = self.generation.max_cost();
         let lenders = router.token_lenders(tenant);
         if !lenders.is_empty() {
             match borrow(router, tenant, amount, lenders, wait_until).await {
@@ -132,10 +132,10 @@
                     self.log_unpaid(router, tenant, "owner");
                     return Err(Refusal::BudgetExhausted);
                 }
-                LoanOutcome::NobodyLends => {}
+                LoanOutcome::NoLender => {}
             }
         }
-        if !router.may_draw(tenant, amount) {
+        if !router.may_reserve(tenant, amount) {
             self.log_unpaid(router, tenant, "scarce");
             return Err(Refusal::BudgetExhausted);
         }
@@ -148,7 +148,13 @@
     }
 
     fn log_unpaid(&self, router: &Router, tenant: &TenantName, step: &str) {
-        decision_log::unpaid(router, self.request, tenant, self.generation.most(), step);
+        decision_log::insufficient_budget(
+            router,
+            self.request,
+            tenant,
+            self.generation.max_cost(),
+            step,
+        );
     }
 }
 
@@ -169,7 +175,7 @@
 ) -> LoanOutcome {
     let wait = wait_until.saturating_duration_since(Instant::now());
     let until = router.now() + Millis(wait.as_millis() as u64);
-    let asking = router.loan_desk.ask(tenant, amount, lenders, until);
+    let asking = router.loan_handle.ask(tenant, amount, lenders, until);
     timeout_at(wait_until, asking).await.unwrap_or(LoanOutcome::NotCovered)
 }
 
@@ -188,7 +194,7 @@
             wait_for_leader(router, wait_until).await;
         } else {
             // Out of touch the leader can't hand out more, but other routers may have some.
-            let lenders = router.token_lenders_elsewhere(tenant);
+            let lenders = router.remote_token_lenders(tenant);
             let outcome = borrow(router, tenant, amount, lenders, wait_until).await;
             if let LoanOutcome::Lent(loan) = outcome {
                 return Ok(Some(loan));
@@ -203,8 +209,8 @@
 
 /// Tells the leader that a request waits, and waits until the wallet has grown, or for a while.
 async fn wait_for_leader(router: &Router, wait_until: Instant) {
-    let grown = router.wallet_grown.notified();
-    router.wallet_short.notify_one();
+    let grown = router.wallet_refilled.notified();
+    router.wallet_insufficient.notify_one();
     let next_try = wait_until.min(Instant::now() + RETRY_INTERVAL);
     // Whether it was rung or not, the wallet decides.
     let _ = timeout_at(next_try, grown).await;
@@ -221,7 +227,7 @@
     amount: Tokens,
     wait: Millis,
 ) -> BorrowAnswer {
-    if !router.may_draw(tenant, amount) {
+    if !router.may_reserve(tenant, amount) {
         return BorrowAnswer::NotCovered;
     }
     let first = router.wallet.borrow_mut().reserve(router.now(), tenant, amount);
--- a/crates/gateway/src/router.rs
+++ b/crates/gateway/src/router.rs
@@ -1,20 +1,20 @@
 //! What a router knows, shared by all its requests.
 
-use crate::break_check::BreakChecks;
 use crate::congestion::Congestion;
+use crate::connection_pool::ConnectionPool;
 use crate::decision_log;
-use crate::dialect::{Dialect, EngineWishes};
-use crate::engine_pool::EnginePool;
-use crate::loans::LoanDesk;
+use crate::header_codec::{EngineDirectives, HeaderCodec};
+use crate::liveness_probe::LivenessProbes;
+use crate::loans::LoanHandle;
 use crate::metrics::RouterMetrics;
 use crate::permits::PermitPool;
 use stackpost_clock::{BootInstant, MachineClock};
 use stackpost_coordinator::{Document, DocumentCodec, DocumentDelta};
 use stackpost_gateway_core::{
-    AccountOwners, CrashMemory, DepartureNews, EngineDirectory, EnginePicker, EngineState,
-    LoadShedding, Placement, RetryBudget, RetryLimits, RouteTable, ServiceOutlook,
+    AccountOwners, CrashTracker, DepartureDelta, EngineDirectory, EnginePicker, EngineState,
+    LoadShedder, Placement, RetryBudget, RetryLimits, RouteTable, ServiceAvailability,
 };
-use stackpost_prepaid::{Outlook, Wallet};
+use stackpost_prepaid::{BudgetForecast, Wallet};
 use stackpost_telemetry::{LineLimit, Meter};
 use stackpost_types::{BackEndName, Millis, ServiceName, TenantName, Timestamp, Tokens, ZoneName};
 use std::cell::{Cell, RefCell};
@@ -49,37 +49,37 @@
 
 /// A router: its decisions and what they rest on. Belongs to one thread.
 pub struct Router {
-    pub(crate) dialect: Box<dyn Dialect>,
+    pub(crate) header_codec: Box<dyn HeaderCodec>,
     pub(crate) codec: Arc<dyn DocumentCodec>,
     pub(crate) metrics: RouterMetrics,
     pub(crate) clock: MachineClock,
-    pub(crate) pool: EnginePool,
-    pub(crate) break_checks: BreakChecks,
+    pub(crate) pool: ConnectionPool,
+    pub(crate) liveness_probes: LivenessProbes,
     pub(crate) directory: RefCell<EngineDirectory>,
     pub(crate) picker: RefCell<EnginePicker>,
     pub(crate) wallet: RefCell<Wallet>,
     pub(crate) retry_budget: RefCell<RetryBudget>,
     /// Requests under which engines have ended.
-    pub(crate) crash_memory: RefCell<CrashMemory>,
+    pub(crate) crash_tracker: RefCell<CrashTracker>,
     /// Rung when control should hear of such a request.
-    pub(crate) crash_news: Notify,
+    pub(crate) crash_report_due: Notify,
     /// Budgets that are going to run out, by the leader's word.
-    pub(crate) outlooks: RefCell<BTreeMap<TenantName, Outlook>>,
-    pub(crate) loan_desk: LoanDesk,
+    pub(crate) forecasts: RefCell<BTreeMap<TenantName, BudgetForecast>>,
+    pub(crate) loan_handle: LoanHandle,
     /// Which routers keep the accounts of tenants.
     pub(crate) account_owners: RefCell<AccountOwners>,
     /// Rung when the wallet has grown.
-    pub(crate) wallet_grown: Notify,
+    pub(crate) wallet_refilled: Notify,
     /// Rung when a request does not fit the wallet.
-    pub(crate) wallet_short: Notify,
+    pub(crate) wallet_insufficient: Notify,
     /// Rung when other routers should hear at once what was sent to an engine.
     pub(crate) load_changed: Notify,
     /// Tokens to be read at one engine from which on that is so.
-    pub(crate) told_at_once: Cell<Tokens>,
+    pub(crate) urgent_update_tokens: Cell<Tokens>,
     /// Permits to send requests to engines, own ones and borrowed ones.
     pub(crate) permits: PermitPool,
     /// Who is let in while engines take less than is asked.
-    pub(crate) shedding: RefCell<LoadShedding>,
+    pub(crate) shedding: RefCell<LoadShedder>,
     refused_wishes: LineLimit,
     document: RefCell<Option<Document>>,
     /// Revision of the engines' departures that this router has been told of whole.
@@ -96,29 +96,29 @@
     /// A router that knows nothing yet.
     pub fn new(
         settings: RouterSettings,
-        dialect: Box<dyn Dialect>,
+        header_codec: Box<dyn HeaderCodec>,
         codec: Arc<dyn DocumentCodec>,
         meter: &Meter,
     ) -> Rc<Self> {
         Rc::new(Self {
-            dialect,
+            header_codec,
             codec,
             metrics: RouterMetrics::new(meter),
-            pool: EnginePool::new(settings.clock.clone()),
-            break_checks: BreakChecks::default(),
-            directory: RefCell::new(EngineDirectory::following()),
+            pool: ConnectionPool::new(settings.clock.clone()),
+            liveness_probes: LivenessProbes::default(),
+            directory: RefCell::new(EngineDirectory::follower()),
             picker: RefCell::new(EnginePicker::new(settings.zone)),
             wallet: RefCell::default(),
             retry_budget: RefCell::new(RetryBudget::new(settings.retry_limits, ROUTERS_ASSUMED)),
-            crash_memory: RefCell::default(),
-            crash_news: Notify::new(),
-            outlooks: RefCell::default(),
-            loan_desk: LoanDesk::default(),
+            crash_tracker: RefCell::default(),
+            crash_report_due: Notify::new(),
+            forecasts: RefCell::default(),
+            loan_handle: LoanHandle::default(),
             account_owners: RefCell::default(),
-            wallet_grown: Notify::new(),
-            wallet_short: Notify::new(),
+            wallet_refilled: Notify::new(),
+            wallet_insufficient: Notify::new(),
             load_changed: Notify::new(),
-            told_at_once: Cell::new(Tokens(u64::MAX)),
+            urgent_update_tokens: Cell::new(Tokens(u64::MAX)),
             permits: PermitPool::default(),
             shedding: RefCell::default(),
             refused_wishes: LineLimit::default(),
@@ -141,7 +141,7 @@
 
     /// Whether the platform should send callers here.
     pub fn is_ready(&self) -> bool {
-        let can_serve = self.table().is_some() && self.known_engines() > 0 && self.can_pay();
+        let can_serve = self.table().is_some() && self.ready_engine_count() > 0 && self.can_pay();
         can_serve && !self.is_draining() && !self.congestion.is_congested(Instant::now())
     }
 
@@ -152,13 +152,13 @@
     }
 
     /// Engines that take work, as far as this router knows.
-    pub fn known_engines(&self) -> usize {
+    pub fn ready_engine_count(&self) -> usize {
         let directory = self.directory.borrow();
         directory.iter().filter(|record| record.notice.state == EngineState::Ready).count()
     }
 
     /// Requests that this router has at engines now.
-    pub fn requests_at_engines(&self) -> u64 {
+    pub fn in_flight_requests(&self) -> u64 {
         let picker = self.picker.borrow();
         let directory = self.directory.borrow();
         directory.iter().map(|record| picker.in_flight(&record.notice.engine)).sum()
@@ -170,9 +170,9 @@
     }
 
     /// Whether a request may draw on its tenant's budget, as far as the end of it is kept for cheaper ones.
-    pub(crate) fn may_draw(&self, tenant: &TenantName, amount: Tokens) -> bool {
-        let outlook = self.outlooks.borrow().get(tenant).copied();
-        self.wallet.borrow_mut().admits(tenant, amount, outlook)
+    pub(crate) fn may_reserve(&self, tenant: &TenantName, amount: Tokens) -> bool {
+        let availability = self.forecasts.borrow().get(tenant).copied();
+        self.wallet.borrow_mut().admits(tenant, amount, availability)
     }
 
     /// Routers to ask for tokens of a tenant before this one draws on its own wallet; none if it keeps its zone's
@@ -180,21 +180,21 @@
     pub(crate) fn token_lenders(&self, tenant: &TenantName) -> Vec<SocketAddr> {
         let mut lenders = self.account_owners.borrow().lenders_in_zone(self.now(), tenant);
         if !lenders.is_empty() && !self.in_touch() {
-            lenders.extend(self.token_lenders_elsewhere(tenant));
+            lenders.extend(self.remote_token_lenders(tenant));
         }
         lenders
     }
 
     /// Routers of other zones that keep an account of a tenant.
-    pub(crate) fn token_lenders_elsewhere(&self, tenant: &TenantName) -> Vec<SocketAddr> {
-        self.account_owners.borrow().lenders_elsewhere(self.now(), tenant)
+    pub(crate) fn remote_token_lenders(&self, tenant: &TenantName) -> Vec<SocketAddr> {
+        self.account_owners.borrow().lenders_in_other_zones(self.now(), tenant)
     }
 
     /// Gives back what is held of budgets whose accounts other routers keep. Out of touch nobody else could use it.
-    pub(crate) fn give_back_unowned(&self) {
+    pub(crate) fn release_unowned_tokens(&self) {
         if self.in_touch() {
             let (now, owners) = (self.now(), self.account_owners.borrow());
-            self.wallet.borrow_mut().give_back_others(|tenant| owners.is_owner(now, tenant));
+            self.wallet.borrow_mut().return_unneeded(|tenant| owners.is_owner(now, tenant));
         }
     }
 
@@ -202,10 +202,10 @@
     pub fn on_placed(&self, engine: &BackEndName, placement: Option<&Placement>) {
         let mut picker = self.picker.borrow_mut();
         picker.on_start(self.now(), engine, placement);
-        if self.permits.is_limited(engine) {
-            self.metrics.on_sent_to_limited();
+        if self.permits.is_rate_limited(engine) {
+            self.metrics.on_sent_to_rate_limited();
         }
-        if picker.untold(engine) >= self.told_at_once.get() {
+        if picker.unreported(engine) >= self.urgent_update_tokens.get() {
             self.load_changed.notify_one();
         }
     }
@@ -213,33 +213,33 @@
     /// Takes in what an engine asked for in its answer to a request. A wish holds for all requests of this router
     /// and every way on which they reach the engine: known of one attempt only, it was broken by the next one. A rate
     /// holds for all routers together, so it goes where it is spent in one place.
-    pub(crate) fn on_wishes(
+    pub(crate) fn on_directives(
         &self,
         request: &str,
         engine: &BackEndName,
         sent_at: Timestamp,
-        wishes: &EngineWishes,
+        wishes: &EngineDirectives,
     ) {
         let now = self.now();
         if let Some(change) = self.permits.learn(now, engine, sent_at, wishes.rate) {
             decision_log::rate_changed(self, Some(request), engine, now.since(sent_at), change);
-            self.tell_owner(engine);
+            self.notify_rate_owner(engine);
         }
-        if let Some(rest) = wishes.rest {
-            let change = self.picker.borrow_mut().on_rest(now, engine, rest);
-            self.metrics.on_rest(change);
+        if let Some(backoff) = wishes.backoff {
+            let change = self.picker.borrow_mut().on_backoff(now, engine, backoff);
+            self.metrics.on_backoff(change);
             if let Some(record) = self.directory.borrow().get(engine) {
-                self.permits.on_rest(now, &record.notice.service);
+                self.permits.on_backoff(now, &record.notice.service);
             }
             if change.begins {
-                decision_log::rest_begins(self, request, engine, rest);
+                decision_log::backoff_started(self, request, engine, backoff);
             }
         }
-        if wishes.leaves && self.picker.borrow_mut().on_leaving(engine) {
+        if wishes.leaving && self.picker.borrow_mut().on_leaving(engine) {
             log::info!(request = request, engine = engine.as_str(); "engine leaves by its own answer");
         }
-        for header in &wishes.unreadable {
-            self.metrics.on_wish_refused(header);
+        for header in &wishes.malformed {
+            self.metrics.on_malformed_header(header);
             if let Some(held_back) = self.refused_wishes.pass(Instant::now()) {
                 let engine = engine.as_str();
                 log::warn!(engine = engine, header = header, held_back = held_back; "wish refused");
@@ -253,8 +253,8 @@
     }
 
     /// What a request for a service can expect.
-    pub(crate) fn outlook(&self, service: &ServiceName) -> ServiceOutlook {
-        self.picker.borrow().outlook(self.now(), &self.directory.borrow(), service)
+    pub(crate) fn availability(&self, service: &ServiceName) -> ServiceAvailability {
+        self.picker.borrow().availability(self.now(), &self.directory.borrow(), service)
     }
 
     /// Tokens that an engine has to read, as far as this router knows.
@@ -274,7 +274,7 @@
 
     /// Whether a planned stop has gone so far that a stream which begins now might be cut off. The
     /// platform has had time to notice; a caller that still comes is better served elsewhere.
-    pub(crate) fn takes_no_more(&self) -> bool {
+    pub(crate) fn rejects_new_requests(&self) -> bool {
         self.draining_since.get().is_some_and(|since| self.clock.since(since) >= LAST_REQUESTS)
     }
 
@@ -333,7 +333,7 @@
     }
 
     /// Takes in which departures have been told. What does not build on what is known leaves a gap, and is told again.
-    pub(crate) fn on_departures_told(&self, news: &DepartureNews) {
+    pub(crate) fn on_departures_received(&self, news: &DepartureDelta) {
         let known = self.departures_known.get();
         if news.base <= known {
             self.departures_known.set(known.max(news.revision));
@@ -341,7 +341,7 @@
     }
 
     /// Takes in that the leader has spoken, which configuration is in force and which departures are written down.
-    pub(crate) fn on_leader_heard(&self, document_version: u64, departures: u64) {
+    pub(crate) fn on_leader_contact(&self, document_version: u64, departures: u64) {
         if !self.in_touch() {
             log::info!(version = document_version; "in touch with the leader");
         }
--- a/crates/gateway/tests/budget_load.rs
+++ b/crates/gateway/tests/budget_load.rs
@@ -7,7 +7,7 @@
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use stackpost_gateway_core::{AccountOwners, RouterSite};
+use stackpost_gateway_core::{AccountOwners, RouterEndpoint};
 use stackpost_prepaid::*;
 use stackpost_types::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -50,8 +50,8 @@
     /// The router that keeps each router's account.
     keeper: Vec<usize>,
     ledger: PrepaidLedger,
-    rations: Rations,
-    outlook: Option<Outlook>,
+    scarce_limiter: ScarceBudgetLimiter,
+    forecast: Option<BudgetForecast>,
     waiting: Vec<Waiting>,
     running: Vec<(Timestamp, usize, Tokens)>,
     round_at: Timestamp,
@@ -67,8 +67,8 @@
     TenantName::new("ferry")
 }
 
-fn sites() -> Vec<RouterSite> {
-    let site = |zone: u8, router: u8| RouterSite {
+fn sites() -> Vec<RouterEndpoint> {
+    let site = |zone: u8, router: u8| RouterEndpoint {
         zone: ZoneName::new(format!("zone{zone}")),
         address: ([10, 0, zone, router], 80).into(),
     };
@@ -79,13 +79,13 @@
 
 fn keepers(accounts: Accounts, now: Timestamp) -> Vec<usize> {
     let sites = sites();
-    let all: BTreeSet<RouterSite> = sites.iter().cloned().collect();
-    let keeper = |(index, own): (usize, &RouterSite)| {
+    let all: BTreeSet<RouterEndpoint> = sites.iter().cloned().collect();
+    let keeper = |(index, own): (usize, &RouterEndpoint)| {
         if accounts == Accounts::AtEveryRouter {
             return index;
         }
         let mut owners = AccountOwners::default();
-        owners.set_sites(own, &all);
+        owners.set_endpoints(own, &all);
         let asked = owners.lenders_in_zone(now, &tenant()).first().copied();
         asked.map_or(index, |owner| {
             sites.iter().position(|site| site.address == owner).expect("a router")
@@ -110,8 +110,8 @@
             wallets: (0..routers).map(|_| Wallet::default()).collect(),
             keeper: keepers(accounts, now),
             ledger,
-            rations: Rations::default(),
-            outlook: None,
+            scarce_limiter: ScarceBudgetLimiter::default(),
+            forecast: None,
             waiting: Vec::new(),
             running: Vec::new(),
             round_at: now,
@@ -152,7 +152,7 @@
         let holder = self.keeper[random.random_range(0..self.wallets.len())];
         let wallet = &mut self.wallets[holder];
         wallet.on_contact(self.now);
-        if !wallet.admits(&tenant(), amount, self.outlook) {
+        if !wallet.admits(&tenant(), amount, self.forecast) {
             return self.refuse(amount);
         }
         match wallet.reserve(self.now, &tenant(), amount) {
@@ -209,7 +209,7 @@
             let accounts: BTreeMap<TenantName, AccountReport> =
                 wallet.report(self.now).into_iter().collect();
             for (tenant, account) in &accounts {
-                self.ledger.give_back(&GivenBack {
+                self.ledger.record_return(&TokenReturn {
                     holder: node.clone(),
                     tenant: tenant.clone(),
                     returned: account.returned,
@@ -221,15 +221,15 @@
             }
         }
         self.accounts = self.accounts.max(reports.len());
-        let plan = plan(&self.ledger, &reports, elapsed, &mut self.rations);
+        let plan = plan(&self.ledger, &reports, elapsed, &mut self.scarce_limiter);
         plan.grants.iter().for_each(|grant| self.ledger.allot(grant));
-        self.outlook = plan.outlooks.get(&tenant()).copied();
+        self.forecast = plan.forecasts.get(&tenant()).copied();
         for (node, wallet) in self.nodes.iter().zip(&mut self.wallets) {
             for (tenant, allotment) in self.ledger.allotments(node) {
                 wallet.on_allotted(&tenant, &allotment);
             }
             for recall in plan.recalls.iter().filter(|recall| recall.holder == *node) {
-                wallet.give_back_above(&recall.tenant, recall.keep);
+                wallet.return_excess(&recall.tenant, recall.keep);
             }
         }
     }
--- a/crates/gateway/tests/fleet/rests.rs
+++ b/crates/gateway/tests/fleet/backoff.rs
@@ -32,10 +32,10 @@
 
 #[test]
 fn an_engine_that_asked_for_rest_is_left_alone() {
-    play(async {
+    run_local(async {
         let fleet = Fleet::start().await;
-        fleet.behave(Behaviour::Full, Behaviour::Answer);
-        fleet.engines[0].rest.set(Some(REST));
+        fleet.set_behaviours(Behaviour::Full, Behaviour::Answer);
+        fleet.engines[0].backoff.set(Some(REST));
         let begun = Instant::now();
         for number in 0.. {
             let got = fleet.ask("/again/1", &format!("rest-{number}")).await;
@@ -52,10 +52,10 @@
 
 #[test]
 fn an_engine_that_rests_is_not_asked_for_want_of_another() {
-    play(async {
+    run_local(async {
         let fleet = Fleet::start().await;
-        fleet.behave(Behaviour::Full, Behaviour::Full);
-        fleet.engines.iter().for_each(|engine| engine.rest.set(Some(REST)));
+        fleet.set_behaviours(Behaviour::Full, Behaviour::Full);
+        fleet.engines.iter().for_each(|engine| engine.backoff.set(Some(REST)));
         fleet.ask("/again/1", "first").await;
         fleet.ask("/again/1", "second").await;
         let arrived = || -> usize {
@@ -75,9 +75,9 @@
 
 #[test]
 fn an_engine_that_says_in_an_answer_that_it_leaves_gets_no_new_request() {
-    play(async {
+    run_local(async {
         let fleet = Fleet::start().await;
-        fleet.engines[0].leaves.set(true);
+        fleet.engines[0].leaving.set(true);
         while fleet.engines[0].runs.borrow().is_empty() {
             fleet.ask("/once/1", &format!("before-{}", fleet.runs())).await;
         }
@@ -94,18 +94,18 @@
 }
 
 /// Seconds that a caller is told to stay away.
-fn retry_after(got: &Got) -> f64 {
+fn retry_after(got: &CallerResponse) -> f64 {
     let value = got.headers.get("retry-after").expect("callers are told when to come again");
     value.to_str().expect("text").parse().expect("seconds")
 }
 
 #[test]
 fn callers_are_told_when_the_first_rest_ends_and_do_not_return_together() {
-    play(async {
+    run_local(async {
         let fleet = Fleet::start().await;
-        fleet.behave(Behaviour::Full, Behaviour::Full);
-        fleet.engines[0].rest.set(Some(REST));
-        fleet.engines[1].rest.set(Some(2 * REST));
+        fleet.set_behaviours(Behaviour::Full, Behaviour::Full);
+        fleet.engines[0].backoff.set(Some(REST));
+        fleet.engines[1].backoff.set(Some(2 * REST));
         let asked = Instant::now();
         fleet.ask("/again/1", "first").await;
         let mut told = Vec::new();
@@ -125,17 +125,17 @@
 
 #[test]
 fn no_tokens_are_set_aside_for_what_nobody_may_serve() {
-    play(async {
+    run_local(async {
         let fleet = Fleet::start().await;
-        fleet.behave(Behaviour::Full, Behaviour::Full);
-        fleet.engines.iter().for_each(|engine| engine.rest.set(Some(REST)));
+        fleet.set_behaviours(Behaviour::Full, Behaviour::Full);
+        fleet.engines.iter().for_each(|engine| engine.backoff.set(Some(REST)));
         fleet.ask("/again/1", "first").await;
         // More than the whole budget, one after the other: none is refused for it.
-        for number in 0..2 * PREPAID / (PROMPT + MOST_GENERATED) {
+        for number in 0..2 * PREPAID / (PROMPT + MAX_GENERATED) {
             let got = fleet.generate(&format!("unserved-{number}")).await;
             assert!(got.body.expect("whole").contains("engines_rest"));
         }
-        fleet.behave(Behaviour::Answer, Behaviour::Answer);
+        fleet.set_behaviours(Behaviour::Answer, Behaviour::Answer);
         tokio::time::sleep(REST).await;
         wait_until_served(&fleet).await;
     });
@@ -153,14 +153,14 @@
 
 #[test]
 fn a_stream_is_not_taken_up_at_an_engine_that_rests() {
-    play(async {
+    run_local(async {
         let fleet = Fleet::start().await;
-        fleet.behave(Behaviour::Full, Behaviour::Answer);
-        fleet.engines[0].rest.set(Some(REST));
+        fleet.set_behaviours(Behaviour::Full, Behaviour::Answer);
+        fleet.engines[0].backoff.set(Some(REST));
         while fleet.engines[0].turned_away.borrow().is_empty() {
             fleet.ask("/again/1", &format!("before-{}", fleet.runs())).await;
         }
-        fleet.engines[1].behaviour.set(Behaviour::Break);
+        fleet.engines[1].behaviour.set(Behaviour::Truncate);
         let got = fleet.ask("/stream/1", "stream").await;
         assert!(got.body.is_err(), "there is nobody to go on with it: {got:?}");
         assert_eq!(fleet.engines[0].turned_away.borrow().len(), 1);
@@ -169,11 +169,11 @@
 
 #[test]
 fn a_stream_under_way_at_an_engine_that_leaves_goes_on_to_its_end() {
-    play(async {
+    run_local(async {
         let fleet = Fleet::start().await;
         fleet.leave(fleet.engines[1].name.id()).await;
-        wait_until(|| fleet.router.known_engines() == 1).await;
-        fleet.engines[0].leaves.set(true);
+        wait_until(|| fleet.router.ready_engine_count() == 1).await;
+        fleet.engines[0].leaving.set(true);
         let got = fleet.ask("/plain-stream/1", "stream").await;
         assert_eq!(got.body, Ok(all_events()), "its own head says that the engine leaves");
         let got = fleet.ask("/plain-stream/1", "next").await;
--- a/crates/gateway/tests/fleet/budgets.rs
+++ b/crates/gateway/tests/fleet/budgets.rs
@@ -1,6 +1,6 @@
 //! One budget, several routers of a zone.
 
-use crate::support::{Fleet, PREPAID, PROMPT, TOKENS_PER_EVENT, play};
+use crate::support::{Fleet, PREPAID, PROMPT, TOKENS_PER_EVENT, run_local};
 
 /// Routers beside the first one.
 const OTHERS: usize = 4;
@@ -11,7 +11,7 @@
 /// With an account at every router five hands and reserves share ten requests' worth of tokens.
 #[test]
 fn several_routers_spend_one_budget_to_its_end_and_never_beyond() {
-    play(async {
+    run_local(async {
         let fleet = Fleet::start().await;
         let mut others = Vec::new();
         for _ in 0..OTHERS {
--- a/crates/gateway/tests/fleet/control_figures.rs
+++ b/crates/gateway/tests/fleet/control_metrics.rs
@@ -4,7 +4,7 @@
 
 /// A figure by its name and labels as they stand in the text.
 fn figure(fleet: &Fleet, name: &str) -> Option<f64> {
-    let text = fleet.control_figures.render().expect("figures can be shown");
+    let text = fleet.control_metrics.render().expect("figures can be shown");
     let line = text
         .lines()
         .find(|line| line.strip_prefix(name).is_some_and(|rest| rest.starts_with(' ')))?;
@@ -13,12 +13,12 @@
 
 #[test]
 fn control_tells_what_it_believes_and_what_it_was_asked() {
-    play(async {
+    run_local(async {
         let fleet = Fleet::start().await;
         fleet.control.read_document().await;
         assert!(
             fleet.control.put_document(b"none".as_slice().into()).await
-                != stackpost_coordinator::PutReply::Taken
+                != stackpost_coordinator::PutReply::Accepted
         );
         let at_least =
             |name: &str, least: f64| figure(&fleet, name).is_some_and(|value| value >= least);
@@ -41,9 +41,9 @@
 
 #[test]
 fn engines_that_end_are_counted() {
-    play(async {
+    run_local(async {
         let fleet = Fleet::start().await;
-        let path = format!("/once/{}", CrashPoint::BeforeHead.word());
+        let path = format!("/once/{}", CrashPoint::BeforeHead.path_segment());
         fleet.ask(&path, "a").await;
         wait_until(|| {
             figure(&fleet, "stackpost_crash_sightings_total{engine=\"ended\"}") >= Some(1.0)
--- a/crates/gateway/tests/fleet/crashing_requests.rs
+++ b/crates/gateway/tests/fleet/crashing_requests.rs
@@ -30,7 +30,7 @@
 /// A fleet of two routers whose engines are started anew, under a new name, when they have ended.
 struct RestartingFleet {
     fleet: Fleet,
-    second: RefCell<EntryMachine>,
+    second: RefCell<RouterMachine>,
     engines: RefCell<Vec<Rc<Engine>>>,
     started: Cell<usize>,
 }
@@ -49,8 +49,8 @@
     async fn all_known(&self) {
         let running = self.engines.borrow().len();
         let second = self.second.borrow().router.clone();
-        wait_until(|| self.fleet.router.known_engines() == running).await;
-        wait_until(|| second.known_engines() == running).await;
+        wait_until(|| self.fleet.router.ready_engine_count() == running).await;
+        wait_until(|| second.ready_engine_count() == running).await;
     }
 
     /// Puts a new engine in the place of each one that has ended, and waits until both routers know.
@@ -75,7 +75,7 @@
     }
 
     /// Asks one of the two routers.
-    async fn ask(&self, number: usize, path: &str, id: &str) -> Got {
+    async fn ask(&self, number: usize, path: &str, id: &str) -> CallerResponse {
         if number.is_multiple_of(2) {
             return self.fleet.ask(path, id).await;
         }
@@ -104,9 +104,9 @@
 #[test]
 fn a_request_that_has_ended_three_engines_reaches_no_more() {
     for point in CrashPoint::ALL {
-        play(async move {
+        run_local(async move {
             let fleet = RestartingFleet::start().await;
-            let path = format!("/plain-stream/{}", point.word());
+            let path = format!("/plain-stream/{}", point.path_segment());
             let ended = fleet.send_copies(&path, COPIES).await;
             assert!(ended <= ENGINES_LOST + SENDS_AFTER, "{ended} engines ended, {point:?}");
             for number in 0..2 {
@@ -123,7 +123,7 @@
 #[test]
 fn what_may_repeat_ends_no_more_engines_than_what_may_not() {
     for path in ["/stream/crash-after-events", "/again/crash-before-head"] {
-        play(async move {
+        run_local(async move {
             let fleet = RestartingFleet::start().await;
             let ended = fleet.send_copies(path, COPIES).await;
             assert!(ended <= ENGINES_LOST + SENDS_AFTER, "{ended} engines ended, {path}");
@@ -133,9 +133,9 @@
 
 #[test]
 fn a_router_that_starts_anew_lets_it_through_no_more() {
-    play(async {
+    run_local(async {
         let fleet = RestartingFleet::start().await;
-        let path = format!("/plain-stream/{}", CrashPoint::BeforeFirstEvent.word());
+        let path = format!("/plain-stream/{}", CrashPoint::BeforeFirstEvent.path_segment());
         let before = fleet.send_copies(&path, COPIES).await;
         let newcomer = fleet.fleet.add_router().await;
         let running = fleet.engines.borrow().len();
--- a/crates/gateway/tests/fleet/departures.rs
+++ b/crates/gateway/tests/fleet/departures.rs
@@ -1,7 +1,7 @@
 //! Engines that say that they leave, and what they are told.
 
 use crate::support::*;
-use stackpost_coordinator::{AnnouncementError, NotWritten};
+use stackpost_coordinator::{AnnouncementError, NotCommitted};
 use stackpost_gateway_core::{EngineNotice, EngineState};
 use stackpost_types::BackEndName;
 
@@ -10,38 +10,38 @@
 
 #[test]
 fn a_departure_that_no_majority_holds_is_not_acknowledged_but_kept_to() {
-    play(async {
+    run_local(async {
         let machine = ControlMachine::start(&[ABSENT]).await;
-        let router = EntryMachine::start(machine.address).await.router;
+        let router = RouterMachine::start(machine.address).await.router;
         let engine = Engine::start("e1").await;
         let ready = notice_of(&engine, 1, EngineState::Ready);
         assert_eq!(machine.control.announce(ready).await, Ok(()));
-        wait_until(|| router.known_engines() == 1).await;
-        let withheld = Err(AnnouncementError::NotWritten(NotWritten));
+        wait_until(|| router.ready_engine_count() == 1).await;
+        let withheld = Err(AnnouncementError::NotCommitted(NotCommitted));
         let draining = notice_of(&engine, 2, EngineState::Draining);
         assert_eq!(machine.control.announce(draining).await, withheld);
-        wait_until(|| router.known_engines() == 0).await;
+        wait_until(|| router.ready_engine_count() == 0).await;
         let ready = notice_of(&engine, 3, EngineState::Ready);
         assert_eq!(machine.control.announce(ready).await, Ok(()));
-        wait_until(|| router.known_engines() == 1).await;
+        wait_until(|| router.ready_engine_count() == 1).await;
         assert_eq!(machine.control.engine_left("e1", None).await, withheld);
-        wait_until(|| router.known_engines() == 0).await;
+        wait_until(|| router.ready_engine_count() == 0).await;
     });
 }
 
 #[test]
 fn a_router_that_comes_later_knows_who_has_left_before_it_takes_callers() {
-    play(async {
+    run_local(async {
         let fleet = Fleet::start().await;
         let engine = Engine::start("e3").await;
         fleet.announce(&engine, 5, EngineState::Ready).await;
-        wait_until(|| fleet.router.known_engines() == 3).await;
+        wait_until(|| fleet.router.ready_engine_count() == 3).await;
         fleet.announce(&engine, 6, EngineState::Draining).await;
         fleet.leave("e2").await;
         let late = fleet.add_router().await;
         wait_until(|| late.router.is_ready()).await;
-        assert_eq!(late.router.known_engines(), 1);
-        wait_until(|| fleet.router.known_engines() == 1).await;
+        assert_eq!(late.router.ready_engine_count(), 1);
+        wait_until(|| fleet.router.ready_engine_count() == 1).await;
     });
 }
 
@@ -50,7 +50,7 @@
 
 #[test]
 fn a_router_whose_queue_overflowed_is_told_again_what_it_missed() {
-    play(async {
+    run_local(async {
         let fleet = Fleet::start().await;
         let template = notice_of(&fleet.engines[0], 1, EngineState::Ready);
         for number in 0..MANY {
@@ -62,6 +62,6 @@
             };
             fleet.control.announce(notice).await.expect("an engine");
         }
-        wait_until(|| fleet.router.known_engines() == MANY + fleet.engines.len()).await;
+        wait_until(|| fleet.router.ready_engine_count() == MANY + fleet.engines.len()).await;
     });
 }
--- a/crates/gateway/tests/fleet/innocent_requests.rs
+++ b/crates/gateway/tests/fleet/flaky_connections.rs
@@ -11,7 +11,7 @@
 //! broke off` of this one copy, the engines' announcements 0.4 s later, and the last refusal 2.0 s after them.
 
 use crate::support::*;
-use stackpost_gateway_core::{ENGINES_LOST, EngineState};
+use stackpost_gateway_core::{CRASHES_TO_QUARANTINE, EngineState};
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -36,7 +36,7 @@
             fleet.announce(&engine, 1, EngineState::Ready).await;
             all.push(engine);
         }
-        wait_until(|| fleet.router.known_engines() == all.len()).await;
+        wait_until(|| fleet.router.ready_engine_count() == all.len()).await;
         Self { all }
     }
 
@@ -52,7 +52,7 @@
 }
 
 /// Sends copies to two routers in turn. Returns how many were refused as ending engines, and how many were served.
-async fn send_copies(fleet: &Fleet, second: &EntryMachine) -> (usize, usize) {
+async fn send_copies(fleet: &Fleet, second: &RouterMachine) -> (usize, usize) {
     let (mut refused, mut served) = (0, 0);
     for copy in 0..COPIES {
         let id = format!("popular-{copy}");
@@ -69,12 +69,12 @@
 
 #[test]
 fn a_request_that_breaks_at_engines_that_live_is_served() {
-    play(async {
+    run_local(async {
         let fleet = Fleet::start().await;
         let engines = Engines::start(&fleet).await;
         let second = fleet.add_router().await;
         second.ready(engines.all.len()).await;
-        engines.all.iter().for_each(|engine| engine.behaviour.set(Behaviour::LoseSome));
+        engines.all.iter().for_each(|engine| engine.behaviour.set(Behaviour::DropSomeConnections));
         let copies = send_copies(&fleet, &second);
         let (refused, served) = tokio::select! {
             sent = copies => sent,
@@ -88,13 +88,13 @@
 
 #[test]
 fn a_copy_that_breaks_at_three_engines_that_live_refuses_no_other() {
-    play(async {
+    run_local(async {
         let fleet = Fleet::start().await;
         let engines = Engines::start(&fleet).await;
-        engines.all.iter().for_each(|engine| engine.behaviour.set(Behaviour::Lose));
+        engines.all.iter().for_each(|engine| engine.behaviour.set(Behaviour::DropConnection));
         let have_run = || engines.all.iter().filter(|one| !one.runs.borrow().is_empty()).count();
         for copy in 0.. {
-            if have_run() >= ENGINES_LOST {
+            if have_run() >= CRASHES_TO_QUARANTINE {
                 break;
             }
             let got = fleet.ask(PATH, &format!("unlucky-{copy}")).await;
--- a/crates/gateway/tests/fleet/break_off_lines.rs
+++ b/crates/gateway/tests/fleet/interruption_log.rs
@@ -1,6 +1,6 @@
 //! The lines that tell afterwards which requests engines broke off, and which of them are the same.
 
-use crate::support::lines::{Fields, keep_lines, lines_about};
+use crate::support::lines::{Fields, capture_log_lines, log_lines_of_requests};
 use crate::support::*;
 
 /// Requests of this test alone: the logger is shared by the whole program.
@@ -9,23 +9,23 @@
 
 #[test]
 fn a_request_that_comes_again_is_told_from_others() {
-    keep_lines();
-    play(async {
+    capture_log_lines();
+    run_local(async {
         let fleet = Fleet::start().await;
         let second = fleet.add_router().await;
         second.ready(fleet.engines.len()).await;
-        fleet.behave(Behaviour::Lose, Behaviour::Lose);
+        fleet.set_behaviours(Behaviour::DropConnection, Behaviour::DropConnection);
         fleet.ask("/once/first", "lost-1").await;
         second.ask("/once/first", "lost-2").await;
         fleet.ask("/once/second", "lost-3").await;
-        fleet.behave(Behaviour::Break, Behaviour::Break);
+        fleet.set_behaviours(Behaviour::Truncate, Behaviour::Truncate);
         fleet.ask("/plain-stream/1", "broken-1").await;
         fleet.ask("/once/third", "broken-2").await;
         for (point, id) in CrashPoint::ALL.into_iter().zip(["ended-1", "ended-2"]) {
-            fleet.ask(&format!("/plain-stream/{}", point.word()), id).await;
+            fleet.ask(&format!("/plain-stream/{}", point.path_segment()), id).await;
         }
     });
-    let own: Vec<Fields> = lines_about("the engine broke off", &REQUESTS);
+    let own: Vec<Fields> = log_lines_of_requests("the engine broke off", &REQUESTS);
     let field = |name: &str| own.iter().map(|line| line[name].clone()).collect::<Vec<_>>();
     assert_eq!(field("request"), REQUESTS);
     let steps = ["head", "head", "head", "stream", "body", "head", "first_event"];
--- a/crates/gateway/tests/fleet/load_exchange.rs
+++ b/crates/gateway/tests/fleet/load_exchange.rs
@@ -10,19 +10,19 @@
 const LONG_PROMPT: Tokens = Tokens(100_000_000);
 
 fn placement() -> Placement {
-    let work = Work {
+    let work = GenerationWork {
         shared: Tokens::ZERO,
         own: LONG_PROMPT,
         objective: Millis(500),
         gap_objective: Millis(500),
     };
     let estimate = EngineLoad::default().estimate(Timestamp(0), None, &work, false);
-    Placement { work, subject: None, estimate, harm: Harm::default() }
+    Placement { work, subject: None, estimate, cost: PlacementCost::default() }
 }
 
 #[test]
 fn what_one_router_sends_is_known_to_the_other() {
-    play(async {
+    run_local(async {
         let (teller, listener) = (router(), router());
         let (from, to) = (free_address(), free_address());
         let exchange = LoadExchange::start(1, from, teller.clone()).await.expect("started");
@@ -37,7 +37,7 @@
 
 #[test]
 fn what_is_no_news_changes_nothing() {
-    play(async {
+    run_local(async {
         let (teller, listener) = (router(), router());
         let (from, to) = (free_address(), free_address());
         let exchange = LoadExchange::start(1, from, teller.clone()).await.expect("started");
--- a/crates/gateway/tests/fleet/main.rs
+++ b/crates/gateway/tests/fleet/main.rs
@@ -1,17 +1,17 @@
 //! A small fleet on loopback sockets: control, routers and stand-ins for engines.
 
-mod break_off_lines;
+mod backoff;
 mod budgets;
-mod control_figures;
+mod control_metrics;
 mod crashing_requests;
-mod departure_lines;
+mod departure_log;
 mod departures;
-mod innocent_requests;
+mod flaky_connections;
+mod interruption_log;
 mod load_exchange;
-mod rate_lines;
+mod rate_log;
+mod rejection_log;
 mod requests;
-mod rests;
 mod stated_rates;
 mod support;
 mod suspension;
-mod turned_away_lines;
--- a/crates/gateway/tests/fleet/rate_lines.rs
+++ b/crates/gateway/tests/fleet/rate_log.rs
@@ -1,22 +1,22 @@
 //! The line that tells afterwards which rate an engine stated, when, and under which request.
 
-use crate::support::lines::{keep_lines, lines_about};
+use crate::support::lines::{capture_log_lines, log_lines_of_requests};
 use crate::support::*;
 
 const REQUESTS: [&str; 3] = ["rate-1", "rate-2", "rate-3"];
 
 #[test]
 fn a_stated_rate_stands_in_a_line_as_it_begins_changes_and_ends() {
-    keep_lines();
-    play(async {
+    capture_log_lines();
+    run_local(async {
         let fleet = Fleet::start().await;
-        fleet.behave(Behaviour::Answer, Behaviour::Full);
+        fleet.set_behaviours(Behaviour::Answer, Behaviour::Full);
         for (rate, id) in [Some(200.0), Some(100.5), None].into_iter().zip(REQUESTS) {
             fleet.engines[0].rate.set(rate);
             while fleet.ask("/once/1", id).await.status != 200 {}
         }
     });
-    let lines = lines_about("engine states its rate", &REQUESTS);
+    let lines = log_lines_of_requests("engine states its rate", &REQUESTS);
     let rates: Vec<(&str, &str)> =
         lines.iter().map(|line| (line["rate_before"].as_str(), line["rate"].as_str())).collect();
     assert_eq!(rates, [("None", "200.000"), ("200.000", "100.500"), ("100.500", "None")]);
--- a/crates/gateway/tests/fleet/turned_away_lines.rs
+++ b/crates/gateway/tests/fleet/rejection_log.rs
@@ -1,7 +1,7 @@
 //! The line that tells afterwards what an engine asked for as it turned a request away, and whether the
 //! router knew of an earlier wish.
 
-use crate::support::lines::{keep_lines, lines_about};
+use crate::support::lines::{capture_log_lines, log_lines_of_requests};
 use crate::support::*;
 use std::time::Duration;
 
@@ -9,17 +9,17 @@
 
 #[test]
 fn what_an_engine_asks_for_stands_in_the_line() {
-    keep_lines();
-    play(async {
+    capture_log_lines();
+    run_local(async {
         let fleet = Fleet::start().await;
-        fleet.behave(Behaviour::Full, Behaviour::Full);
-        fleet.engines[0].rest.set(Some(Duration::from_secs(3)));
-        fleet.engines[1].rest.set(None);
+        fleet.set_behaviours(Behaviour::Full, Behaviour::Full);
+        fleet.engines[0].backoff.set(Some(Duration::from_secs(3)));
+        fleet.engines[1].backoff.set(None);
         for id in REQUESTS {
             fleet.ask("/once/1", id).await;
         }
     });
-    let lines = lines_about("attempt failed: not run", &REQUESTS);
+    let lines = log_lines_of_requests("attempt failed: not run", &REQUESTS);
     let asked =
         lines.iter().find(|line| line["engine"] == "e1").expect("it was asked first or second");
     assert_eq!(asked["rest_ms"], "3000");
--- a/crates/gateway/tests/fleet/stated_rates.rs
+++ b/crates/gateway/tests/fleet/stated_rates.rs
@@ -49,7 +49,7 @@
 }
 
 /// Asks the routers in turn for a window and a half.
-async fn load(routers: &[std::net::SocketAddr], paths: &[&str]) -> Vec<Got> {
+async fn load(routers: &[std::net::SocketAddr], paths: &[&str]) -> Vec<CallerResponse> {
     let (begun, mut got) = (Instant::now(), Vec::new());
     for number in 0.. {
         let (router, path) = (routers[number % routers.len()], paths[number % paths.len()]);
@@ -64,7 +64,7 @@
 
 #[test]
 fn an_engine_gets_no_more_than_it_states_while_another_has_room() {
-    play(async {
+    run_local(async {
         let fleet = Fleet::start().await;
         fleet.engines[0].rate.set(Some(1.5));
         let got = load(&[fleet.callers], &["/once/1", "/again/1", "/stream/1"]).await;
@@ -76,7 +76,7 @@
 
 #[test]
 fn routers_together_send_no_more_than_an_engine_states() {
-    play(async {
+    run_local(async {
         let fleet = Fleet::start().await;
         let mut routers = vec![fleet.callers];
         let mut machines = Vec::new();
@@ -101,7 +101,7 @@
 
 #[test]
 fn generations_are_held_to_a_rate_as_other_requests_are() {
-    play(async {
+    run_local(async {
         let fleet = Fleet::start().await;
         fleet.engines[0].rate.set(Some(1.3));
         fleet.engines[1].rate.set(Some(40.0));
@@ -119,9 +119,9 @@
 /// Without it a request that was turned away everywhere waited for a permit that nobody had to give.
 #[test]
 fn a_request_that_was_at_every_engine_is_refused_at_once() {
-    play(async {
+    run_local(async {
         let fleet = Fleet::start().await;
-        fleet.behave(Behaviour::Full, Behaviour::Full);
+        fleet.set_behaviours(Behaviour::Full, Behaviour::Full);
         fleet.engines.iter().for_each(|engine| engine.rate.set(Some(40.0)));
         fleet.ask("/again/1", "first").await;
         tokio::time::sleep(UNDER_WAY).await;
@@ -138,9 +138,9 @@
 #[test]
 fn a_repeat_takes_no_permit_for_which_a_first_attempt_waits() {
     const REQUESTS: usize = 12;
-    play(async {
+    run_local(async {
         let fleet = Fleet::start().await;
-        fleet.behave(Behaviour::Fail, Behaviour::Fail);
+        fleet.set_behaviours(Behaviour::ServerError, Behaviour::ServerError);
         fleet.engines.iter().for_each(|engine| engine.rate.set(Some(8.0)));
         // More than may gather, so that nothing is left of the rates and all who ask at once wait.
         for number in 0..REQUESTS {
--- a/crates/gateway/tests/fleet/support/engine.rs
+++ b/crates/gateway/tests/fleet/support/engine.rs
@@ -23,19 +23,19 @@
     /// Turns the request away.
     Full,
     /// Runs it and closes the connection without an answer.
-    Lose,
+    DropConnection,
     /// Loses three of ten runs, by a lot that its name and their number decide.
-    LoseSome,
+    DropSomeConnections,
     /// Runs it and answers with an error of its own.
-    Fail,
+    ServerError,
     /// Runs it and answers another request.
-    Cross,
+    AnswerOtherRequest,
     /// Breaks the answer off in its middle.
-    Break,
+    Truncate,
     /// Runs it and says nothing.
     Hang,
     /// Begins a stream and says nothing more.
-    Pause,
+    Stall,
 }
 
 /// A stand-in for an engine.
@@ -48,13 +48,13 @@
     /// When requests came that it turned away.
     pub turned_away: RefCell<Vec<Instant>>,
     /// Rest that it asks for as it turns a request away.
-    pub rest: Cell<Option<Duration>>,
+    pub backoff: Cell<Option<Duration>>,
     /// The requests a second that it says in its answers it takes.
     pub rate: Cell<Option<f64>>,
     /// When requests came, whatever became of them.
     pub arrivals: RefCell<Vec<Instant>>,
     /// Whether it says in its answers that it leaves.
-    pub leaves: Cell<bool>,
+    pub leaving: Cell<bool>,
     /// Keys that were shown to it.
     pub keys_seen: Cell<usize>,
     /// Whether its process has ended.
@@ -82,10 +82,10 @@
             behaviour: Cell::new(Behaviour::Answer),
             runs: RefCell::default(),
             turned_away: RefCell::default(),
-            rest: Cell::new(None),
+            backoff: Cell::new(None),
             rate: Cell::new(None),
             arrivals: RefCell::default(),
-            leaves: Cell::new(false),
+            leaving: Cell::new(false),
             keys_seen: Cell::new(0),
             has_crashed: Cell::new(false),
             tasks: RefCell::default(),
@@ -143,28 +143,31 @@
         if let Some(point) = CrashPoint::of(request.uri().path()) {
             return self.crash_at(point, id).await;
         }
-        let answered = if behaviour == Behaviour::Cross { "other".to_string() } else { id };
+        let answered =
+            if behaviour == Behaviour::AnswerOtherRequest { "other".to_string() } else { id };
         let head = self.head(answered).header("signature", "s");
-        let head = if self.leaves.get() { head.header("leaving", "1") } else { head };
+        let head = if self.leaving.get() { head.header("leaving", "1") } else { head };
         let response = match behaviour {
-            Behaviour::LoseSome if self.is_lost() => {
+            Behaviour::DropSomeConnections if self.is_lost() => {
                 return Err(std::io::ErrorKind::ConnectionReset.into());
             }
-            Behaviour::Lose => return Err(std::io::ErrorKind::ConnectionReset.into()),
+            Behaviour::DropConnection => return Err(std::io::ErrorKind::ConnectionReset.into()),
             Behaviour::Hang => std::future::pending().await,
-            Behaviour::Pause => {
+            Behaviour::Stall => {
                 let begun = futures::stream::iter(first_events(0, EVENTS_BEFORE_BREAK));
                 let body = StreamBody::new(begun.chain(futures::stream::pending()));
                 head.header("content-type", "text/event-stream").body(body.boxed_unsync())
             }
-            Behaviour::Fail => head.status(500).body(whole("own error")),
-            Behaviour::Break if !streams => head.header("content-length", "9").body(broken(vec![
-                Ok(Frame::data(Bytes::from_static(b"half"))),
-                Err(std::io::ErrorKind::ConnectionReset.into()),
-            ])),
+            Behaviour::ServerError => head.status(500).body(whole("own error")),
+            Behaviour::Truncate if !streams => {
+                head.header("content-length", "9").body(broken(vec![
+                    Ok(Frame::data(Bytes::from_static(b"half"))),
+                    Err(std::io::ErrorKind::ConnectionReset.into()),
+                ]))
+            }
             _ if streams => head
                 .header("content-type", "text/event-stream")
-                .body(events(after.unwrap_or(0), behaviour == Behaviour::Break)),
+                .body(events(after.unwrap_or(0), behaviour == Behaviour::Truncate)),
             _ => head.header("x-own", "kept").body(whole("an answer")),
         };
         Ok(response.expect("a response"))
@@ -187,7 +190,7 @@
         [Self::BeforeHead, Self::BeforeFirstEvent, Self::AfterEvents, Self::InLargeAnswer];
 
     /// The word in the path.
-    pub fn word(self) -> &'static str {
+    pub fn path_segment(self) -> &'static str {
         match self {
             Self::BeforeHead => "crash-before-head",
             Self::BeforeFirstEvent => "crash-before-first-event",
@@ -197,7 +200,7 @@
     }
 
     fn of(path: &str) -> Option<Self> {
-        Self::ALL.into_iter().find(|point| path.contains(point.word()))
+        Self::ALL.into_iter().find(|point| path.contains(point.path_segment()))
     }
 }
 
@@ -248,8 +251,8 @@
     fn turn_away(&self, id: String) -> Response<EngineBody> {
         self.turned_away.borrow_mut().push(Instant::now());
         let refusal = self.head(id).status(503).header("not-run", "1");
-        let refusal = match self.rest.get() {
-            Some(rest) => refusal.header("rest", rest.as_millis().to_string()),
+        let refusal = match self.backoff.get() {
+            Some(backoff) => refusal.header("rest", backoff.as_millis().to_string()),
             None => refusal,
         };
         refusal.body(whole("")).expect("a response")
--- a/crates/gateway/tests/fleet/support/lines.rs
+++ b/crates/gateway/tests/fleet/support/lines.rs
@@ -37,7 +37,7 @@
 }
 
 /// Keeps lines from now on.
-pub fn keep_lines() {
+pub fn capture_log_lines() {
     STARTED.call_once(|| {
         log::set_logger(&LINES).expect("no other logger");
         log::set_max_level(log::LevelFilter::Info);
@@ -45,12 +45,12 @@
 }
 
 /// The lines with a message about these requests, in their order.
-pub fn lines_about(message: &str, requests: &[&str]) -> Vec<Fields> {
-    lines_with(message, "request", requests)
+pub fn log_lines_of_requests(message: &str, requests: &[&str]) -> Vec<Fields> {
+    log_lines_with(message, "request", requests)
 }
 
 /// The lines with a message whose `field` has one of these values, in their order.
-pub fn lines_with(message: &str, field: &str, values: &[&str]) -> Vec<Fields> {
+pub fn log_lines_with(message: &str, field: &str, values: &[&str]) -> Vec<Fields> {
     let lines = LINES.0.lock().unwrap_or_else(PoisonError::into_inner);
     let is_meant =
         |fields: &Fields| fields.get(field).is_some_and(|value| values.contains(&value.as_str()));
--- a/crates/gateway/tests/fleet/support/mod.rs
+++ b/crates/gateway/tests/fleet/support/mod.rs
@@ -2,10 +2,10 @@
 
 mod engine;
 pub mod lines;
-mod wire;
+mod test_codecs;
 
 pub use engine::{Behaviour, CrashPoint, Engine, all_events};
-use wire::{TestDialect, TestDocuments};
+use test_codecs::{TestDocumentCodec, TestHeaderCodec};
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -28,7 +28,7 @@
 pub const PREPAID: u64 = 10_000;
 /// Tokens of the prompt and most generated of every generation in the tests.
 pub const PROMPT: u64 = 100;
-pub const MOST_GENERATED: u64 = 50;
+pub const MAX_GENERATED: u64 = 50;
 pub const TOKENS_PER_EVENT: u64 = 5;
 const KEY: &str = "ferry-key";
 /// Conditions are looked at this often; a test that waits for ever is ended by its runner.
@@ -36,7 +36,7 @@
 
 /// What a caller gets.
 #[derive(Debug)]
-pub struct Got {
+pub struct CallerResponse {
     pub status: StatusCode,
     pub headers: HeaderMap,
     /// The body, if it came in whole.
@@ -44,7 +44,7 @@
 }
 
 /// A router on a machine of its own.
-pub struct EntryMachine {
+pub struct RouterMachine {
     pub router: Rc<Router>,
     pub link: Rc<FleetLink>,
     pub server: Rc<Server>,
@@ -54,7 +54,7 @@
     pub clock: MachineClock,
 }
 
-impl EntryMachine {
+impl RouterMachine {
     /// Starts a router that looks for control at `control`.
     pub async fn start(control: SocketAddr) -> Self {
         let clock = MachineClock::default();
@@ -70,16 +70,16 @@
     /// Waits until it serves and knows `engines` engines that take work.
     pub async fn ready(&self, engines: usize) {
         wait_until(|| self.router.is_ready() && self.router.in_touch()).await;
-        wait_until(|| self.router.known_engines() == engines).await;
+        wait_until(|| self.router.ready_engine_count() == engines).await;
     }
 
     /// Asks as a caller does, over a connection of its own.
-    pub async fn ask(&self, path: &str, id: &str) -> Got {
+    pub async fn ask(&self, path: &str, id: &str) -> CallerResponse {
         ask_as_caller(self.callers, path, id).await
     }
 
     /// Asks for a generation, which costs tokens.
-    pub async fn generate(&self, id: &str) -> Got {
+    pub async fn generate(&self, id: &str) -> CallerResponse {
         generate_at(self.callers, id).await
     }
 }
@@ -90,7 +90,7 @@
     /// Where it accepts connections of the fleet.
     pub address: SocketAddr,
     /// What it tells of itself.
-    pub figures: MetricsRegistry,
+    pub metrics_registry: MetricsRegistry,
     pub folder: tempfile::TempDir,
 }
 
@@ -103,26 +103,26 @@
         let others = others.iter().map(|other| MachineName::new(*other));
         let config = ReplicaConfig {
             name: name.clone(),
-            founders: Some(std::iter::once(name.clone()).chain(others).collect()),
-            fresh_identity: 5,
+            initial_voters: Some(std::iter::once(name.clone()).chain(others).collect()),
+            new_identity: 5,
             election_timeout: Millis(300),
             heartbeat_interval: Millis(50),
             lease_margin: Millis(50),
-            voters_wanted: 1,
+            target_voters: 1,
             zone: ZoneName::new("one"),
             zones: 1,
             seed: 1,
-            codec: Arc::new(TestDocuments),
+            codec: Arc::new(TestDocumentCodec),
         };
-        let figures = MetricsRegistry::new().expect("a registry");
-        let metrics = ControlMetrics::new(&figures.meter());
+        let metrics_registry = MetricsRegistry::new().expect("a registry");
+        let metrics = ControlMetrics::new(&metrics_registry.meter());
         let (replica, effects) =
             ReplicaThread::start(config, folder.path(), metrics.clone()).expect("started");
         let settings = ControlSettings { mesh_address: address, seeds: vec![address] };
         let own = peer(PeerRole::Control, name.as_str(), address);
         let control =
             ControlNode::start(own, settings, replica, effects, metrics).await.expect("started");
-        Self { control, address, figures, folder }
+        Self { control, address, metrics_registry, folder }
     }
 }
 
@@ -137,7 +137,7 @@
     /// The clock of the router's machine.
     pub clock: MachineClock,
     /// What control tells of itself.
-    pub control_figures: MetricsRegistry,
+    pub control_metrics: MetricsRegistry,
     control_address: SocketAddr,
     _folder: tempfile::TempDir,
 }
@@ -165,10 +165,10 @@
     }
 }
 
-fn peer(role: PeerRole, machine: &str, listens_at: SocketAddr) -> PeerInfo {
+fn peer(role: PeerRole, machine: &str, listen_address: SocketAddr) -> PeerInfo {
     let incarnation = Incarnation(rand::random());
     let node = NodeId { machine: MachineName::new(machine), incarnation };
-    PeerInfo { node, role, zone: "hall".into(), listens_at }
+    PeerInfo { node, role, zone: "hall".into(), listen_address }
 }
 
 /// A router that knows nothing yet.
@@ -180,8 +180,8 @@
     let retry_limits = RetryLimits { permille: 200, extra: 200, window: Millis(10_000) };
     Router::new(
         RouterSettings { zone: "hall".into(), retry_limits, clock },
-        Box::new(TestDialect),
-        Arc::new(TestDocuments),
+        Box::new(TestHeaderCodec),
+        Arc::new(TestDocumentCodec),
         &MetricsRegistry::new().expect("a registry").meter(),
     )
 }
@@ -196,9 +196,10 @@
 impl Fleet {
     /// Starts everything and waits until the router is ready.
     pub async fn start() -> Self {
-        let ControlMachine { control, address: mesh, figures: control_figures, folder } =
+        let ControlMachine { control, address: mesh, metrics_registry: control_metrics, folder } =
             ControlMachine::start(&[]).await;
-        let EntryMachine { router, link, server, callers, clock } = EntryMachine::start(mesh).await;
+        let RouterMachine { router, link, server, callers, clock } =
+            RouterMachine::start(mesh).await;
         let engines = [Engine::start("e1").await, Engine::start("e2").await];
         let control_address = mesh;
         let fleet = Self {
@@ -209,7 +210,7 @@
             engines,
             callers,
             clock,
-            control_figures,
+            control_metrics,
             control_address,
             _folder: folder,
         };
@@ -218,7 +219,7 @@
     }
 
     async fn make_ready(&self) {
-        while self.control.put_document(b"1".as_slice().into()).await != PutReply::Taken {
+        while self.control.put_document(b"1".as_slice().into()).await != PutReply::Accepted {
             tokio::time::sleep(LOOK).await;
         }
         for engine in &self.engines {
@@ -227,7 +228,7 @@
         let router = self.router.clone();
         wait_until(|| router.is_ready() && router.in_touch()).await;
         // The first request brings both engines to the router's knowledge for certain.
-        wait_until(|| self.router.known_engines() == self.engines.len()).await;
+        wait_until(|| self.router.ready_engine_count() == self.engines.len()).await;
     }
 
     pub async fn announce(&self, engine: &Engine, sequence: u64, state: EngineState) {
@@ -244,7 +245,7 @@
         notice_of(engine, sequence, state)
     }
 
-    pub fn behave(&self, first: Behaviour, second: Behaviour) {
+    pub fn set_behaviours(&self, first: Behaviour, second: Behaviour) {
         self.engines[0].behaviour.set(first);
         self.engines[1].behaviour.set(second);
     }
@@ -255,22 +256,22 @@
     }
 
     /// Asks as a caller does, over a connection of its own.
-    pub async fn ask(&self, path: &str, id: &str) -> Got {
+    pub async fn ask(&self, path: &str, id: &str) -> CallerResponse {
         self.ask_with(path, &[("id", id), ("key", KEY)]).await
     }
 
     /// Asks for a generation, which costs tokens.
-    pub async fn generate(&self, id: &str) -> Got {
+    pub async fn generate(&self, id: &str) -> CallerResponse {
         generate_at(self.callers, id).await
     }
 
-    pub async fn ask_with(&self, path: &str, headers: &[(&str, &str)]) -> Got {
+    pub async fn ask_with(&self, path: &str, headers: &[(&str, &str)]) -> CallerResponse {
         ask_at(self.callers, path, headers).await
     }
 
     /// A further router.
-    pub async fn add_router(&self) -> EntryMachine {
-        EntryMachine::start(self.control_address).await
+    pub async fn add_router(&self) -> RouterMachine {
+        RouterMachine::start(self.control_address).await
     }
 }
 
@@ -290,15 +291,15 @@
 }
 
 /// Asks the router that takes callers at `callers`, over a connection of its own.
-pub async fn ask_as_caller(callers: SocketAddr, path: &str, id: &str) -> Got {
+pub async fn ask_as_caller(callers: SocketAddr, path: &str, id: &str) -> CallerResponse {
     ask_at(callers, path, &[("id", id), ("key", KEY)]).await
 }
 
-async fn generate_at(callers: SocketAddr, id: &str) -> Got {
+async fn generate_at(callers: SocketAddr, id: &str) -> CallerResponse {
     ask_at(callers, "/stream/1", &[("id", id), ("key", KEY), ("generation", "1")]).await
 }
 
-async fn ask_at(callers: SocketAddr, path: &str, headers: &[(&str, &str)]) -> Got {
+async fn ask_at(callers: SocketAddr, path: &str, headers: &[(&str, &str)]) -> CallerResponse {
     let stream = TcpStream::connect(callers).await.expect("connected");
     let (mut sender, connection) =
         hyper::client::conn::http1::handshake(TokioIo::new(stream)).await.expect("connected");
@@ -315,11 +316,11 @@
         Err(error) => Err(error.to_string()),
     };
     driver.abort();
-    Got { status: head.status, headers: head.headers, body }
+    CallerResponse { status: head.status, headers: head.headers, body }
 }
 
 /// Runs a test inside a runtime of one thread.
-pub fn play<F: Future<Output = ()>>(test: F) {
+pub fn run_local<F: Future<Output = ()>>(test: F) {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, test);
--- a/crates/gateway/tests/fleet/support/wire.rs
+++ b/crates/gateway/tests/fleet/support/test_codecs.rs
@@ -9,15 +9,15 @@
 use std::collections::BTreeMap;
 
 /// Headers of the tests.
-pub struct TestDialect;
+pub struct TestHeaderCodec;
 
-impl Dialect for TestDialect {
-    fn read_request(&self, headers: &HeaderMap) -> Result<CallerRequest, UnreadableRequest> {
+impl HeaderCodec for TestHeaderCodec {
+    fn read_request(&self, headers: &HeaderMap) -> Result<CallerRequest, MalformedHeader> {
         let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
         let generation = headers.contains_key("generation").then_some(Generation {
             prompt: Tokens(super::PROMPT),
             shared: Tokens::ZERO,
-            most_generated: Tokens(super::MOST_GENERATED),
+            max_generated: Tokens(super::MAX_GENERATED),
             subject: None,
         });
         Ok(CallerRequest {
@@ -29,7 +29,7 @@
         })
     }
 
-    fn address_engine(&self, headers: &mut HeaderMap, addressing: &EngineAddressing<'_>) {
+    fn write_engine_headers(&self, headers: &mut HeaderMap, addressing: &EngineRequestHeaders<'_>) {
         headers.remove("key");
         let mut set = |name: &'static str, value: String| {
             headers.insert(name, value.parse().expect("a header value"));
@@ -41,38 +41,43 @@
         }
     }
 
-    fn judge_answer(
+    fn classify_response(
         &self,
         request: &CallerRequest,
         _: StatusCode,
         headers: &HeaderMap,
-    ) -> EngineVerdict {
+    ) -> ResponseClass {
         if headers.contains_key("not-run") {
-            return EngineVerdict::NotRun;
+            return ResponseClass::NotRun;
         }
         match headers.get("id") {
-            Some(id) if *id == request.id => EngineVerdict::Genuine,
-            Some(_) => EngineVerdict::OtherRequest,
-            None => EngineVerdict::Unsigned,
+            Some(id) if *id == request.id => ResponseClass::Verified,
+            Some(_) => ResponseClass::OtherRequest,
+            None => ResponseClass::Unsigned,
         }
     }
 
-    fn read_wishes(&self, _: &CallerRequest, _: StatusCode, headers: &HeaderMap) -> EngineWishes {
-        let rest = headers.get("rest").map(|rest| rest.to_str().expect("text"));
-        let rest = rest.map(|rest| Millis(rest.parse().expect("milliseconds")));
-        let leaves = headers.contains_key("leaving");
+    fn read_directives(
+        &self,
+        _: &CallerRequest,
+        _: StatusCode,
+        headers: &HeaderMap,
+    ) -> EngineDirectives {
+        let backoff = headers.get("rest").map(|backoff| backoff.to_str().expect("text"));
+        let backoff = backoff.map(|backoff| Millis(backoff.parse().expect("milliseconds")));
+        let leaving = headers.contains_key("leaving");
         let rate = headers.get("rate").map(|rate| rate.to_str().expect("text"));
         let rate = rate.map_or(RateStatement::Unlimited, |rate| {
             RateStatement::Limited(rate.parse().expect("a rate"))
         });
-        EngineWishes { rest, leaves, rate, unreadable: Vec::new() }
+        EngineDirectives { backoff, leaving, rate, malformed: Vec::new() }
     }
 }
 
 /// The one configuration of the tests, whatever the document says but its version.
-pub struct TestDocuments;
+pub struct TestDocumentCodec;
 
-impl DocumentCodec for TestDocuments {
+impl DocumentCodec for TestDocumentCodec {
     fn decode(&self, bytes: &[u8]) -> Result<RoutingConfig, ConfigError> {
         let text = std::str::from_utf8(bytes).unwrap_or_default();
         let version =
@@ -100,8 +105,8 @@
         Ok(RoutingConfig {
             version,
             routes: vec![
-                route("/once/", RouteKind::OnlyOnce, 2),
-                route("/again/", RouteKind::Repeatable, 2),
+                route("/once/", RouteKind::NonIdempotent, 2),
+                route("/again/", RouteKind::Idempotent, 2),
                 route("/stream/", RouteKind::Streaming { resumable: true }, 2),
                 route("/plain-stream/", RouteKind::Streaming { resumable: false }, 2),
             ],
--- a/crates/gateway/tests/fleet/suspension.rs
+++ b/crates/gateway/tests/fleet/suspension.rs
@@ -9,10 +9,10 @@
 
 #[test]
 fn a_router_that_wakes_is_out_of_touch_until_it_hears_the_leader() {
-    play(async {
+    run_local(async {
         let fleet = Fleet::start().await;
         assert!(fleet.router.in_touch());
-        fleet.clock.suspend(SUSPENDED);
+        fleet.clock.simulate_suspend(SUSPENDED);
         assert!(!fleet.router.in_touch(), "its last contact is long past");
         let router = fleet.router.clone();
         wait_until(|| router.in_touch()).await;
@@ -24,12 +24,12 @@
 /// What it does not know may have come while it was suspended, so it is no final answer.
 #[test]
 fn a_route_that_is_not_known_is_not_denied_out_of_touch() {
-    play(async {
+    run_local(async {
         let fleet = Fleet::start().await;
         assert_eq!(fleet.ask("/unknown/1", "in-touch").await.status, 404);
         let mut asked_out_of_touch = 0;
         while asked_out_of_touch < 5 {
-            fleet.clock.suspend(SUSPENDED);
+            fleet.clock.simulate_suspend(SUSPENDED);
             let got = fleet.ask("/unknown/1", "awake").await;
             // The leader may have been heard before the request was read, not the other way round.
             if !fleet.router.in_touch() {
@@ -43,12 +43,12 @@
 /// The caller's time has gone on as well.
 #[test]
 fn a_request_under_way_is_not_sent_again_after_its_time() {
-    play(async {
+    run_local(async {
         let fleet = Fleet::start().await;
-        fleet.behave(Behaviour::Hang, Behaviour::Hang);
+        fleet.set_behaviours(Behaviour::Hang, Behaviour::Hang);
         let break_both = async {
             wait_until(|| fleet.runs() == 1).await;
-            fleet.clock.suspend(SUSPENDED);
+            fleet.clock.simulate_suspend(SUSPENDED);
             fleet.engines.iter().for_each(|engine| engine.restart());
         };
         let (got, ()) = tokio::join!(fleet.ask("/again/1", "late"), break_both);
@@ -60,12 +60,12 @@
 /// Without a suspension the same request is sent again: what the test above sees is the clock.
 #[test]
 fn a_request_under_way_is_sent_again_within_its_time() {
-    play(async {
+    run_local(async {
         let fleet = Fleet::start().await;
-        fleet.behave(Behaviour::Hang, Behaviour::Hang);
+        fleet.set_behaviours(Behaviour::Hang, Behaviour::Hang);
         let break_both = async {
             wait_until(|| fleet.runs() == 1).await;
-            fleet.behave(Behaviour::Answer, Behaviour::Answer);
+            fleet.set_behaviours(Behaviour::Answer, Behaviour::Answer);
             fleet.engines.iter().for_each(|engine| engine.restart());
         };
         let (got, ()) = tokio::join!(fleet.ask("/again/1", "in-time"), break_both);
@@ -77,15 +77,15 @@
 /// A rest is over when the engine's clock says so, which has gone on.
 #[test]
 fn what_an_engine_asked_for_before_is_over_after_a_long_suspension() {
-    play(async {
+    run_local(async {
         let fleet = Fleet::start().await;
-        fleet.behave(Behaviour::Full, Behaviour::Full);
-        fleet.engines.iter().for_each(|engine| engine.rest.set(Some(SUSPENDED / 2)));
+        fleet.set_behaviours(Behaviour::Full, Behaviour::Full);
+        fleet.engines.iter().for_each(|engine| engine.backoff.set(Some(SUSPENDED / 2)));
         fleet.ask("/again/1", "first").await;
         let refused = fleet.ask("/again/1", "refused").await;
         assert!(refused.body.expect("whole").contains("engines_rest"));
-        fleet.behave(Behaviour::Answer, Behaviour::Answer);
-        fleet.clock.suspend(SUSPENDED);
+        fleet.set_behaviours(Behaviour::Answer, Behaviour::Answer);
+        fleet.clock.simulate_suspend(SUSPENDED);
         assert_eq!(fleet.ask("/again/1", "awake").await.status, 200);
     });
 }
@@ -93,12 +93,12 @@
 /// However often it is suspended, and whatever it then draws on its reserve, a tenant gets no more than it has paid for.
 #[test]
 fn a_router_that_is_suspended_again_and_again_spends_no_more_than_was_paid_for() {
-    play(async {
+    run_local(async {
         let fleet = Fleet::start().await;
         let (mut served, mut refused) = (0, 0);
         for number in 0.. {
             if number % 7 == 0 {
-                fleet.clock.suspend(SUSPENDED / 4);
+                fleet.clock.simulate_suspend(SUSPENDED / 4);
             }
             match fleet.generate(&format!("paid-{number}")).await.status.as_u16() {
                 200 => served += 1,
--- a/crates/ledger/src/mirror.rs
+++ b/crates/ledger/src/mirror.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum MirrorMessage {
     /// The whole account after the change numbered `sequence`.
-    Base {
+    Snapshot {
         /// The account.
         account: AccountId,
         /// The epoch the owner knows.
@@ -36,14 +36,14 @@
     /// The account spoken of.
     pub fn account(&self) -> &AccountId {
         match self {
-            Self::Base { account, .. } | Self::Batch { account, .. } => account,
+            Self::Snapshot { account, .. } | Self::Batch { account, .. } => account,
         }
     }
 
     /// The owner's epoch.
     pub fn epoch(&self) -> Epoch {
         match self {
-            Self::Base { epoch, .. } | Self::Batch { epoch, .. } => *epoch,
+            Self::Snapshot { epoch, .. } | Self::Batch { epoch, .. } => *epoch,
         }
     }
 }
@@ -83,7 +83,7 @@
     ) -> (Option<Self>, MirrorAck) {
         let account = message.account().clone();
         let copy = match (held, message) {
-            (held, MirrorMessage::Base { epoch, sequence, state, .. }) => {
+            (held, MirrorMessage::Snapshot { epoch, sequence, state, .. }) => {
                 Some(Self::take_base(held, now, owner, epoch, sequence, *state))
             }
             (Some(held), MirrorMessage::Batch { epoch, first, records, .. })
--- a/crates/ledger/src/owner.rs
+++ b/crates/ledger/src/owner.rs
@@ -20,9 +20,9 @@
     /// Nothing that concerns it.
     Unchanged,
     /// It still owns the account; the backup or the epoch is new.
-    Kept,
+    StillOwner,
     /// Another node owns the account, or it is lost. Nothing of it may take effect any more.
-    Ousted,
+    OwnershipLost,
 }
 
 /// How far one replica has got.
@@ -205,7 +205,7 @@
         }
         self.epoch = row.epoch;
         if row.owner != *me || row.state == LifeState::Lost {
-            return ViewChange::Ousted;
+            return ViewChange::OwnershipLost;
         }
         if row.backup.as_ref() != self.backup() {
             let candidate = self.candidate.take();
@@ -216,7 +216,7 @@
         self.candidate = None;
         self.requested = false;
         self.trim();
-        ViewChange::Kept
+        ViewChange::StillOwner
     }
 
     /// Takes in an acknowledgement.
@@ -313,5 +313,5 @@
 
 fn base_of(id: &AccountId, epoch: Epoch, sequence: u64, state: &AccountState) -> MirrorMessage {
     let state = Box::new(state.clone());
-    MirrorMessage::Base { account: id.clone(), epoch, sequence, state }
+    MirrorMessage::Snapshot { account: id.clone(), epoch, sequence, state }
 }
--- a/crates/ledger/src/policy.rs
+++ b/crates/ledger/src/policy.rs
@@ -6,7 +6,7 @@
 
 /// What an account asks another one for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ask {
+pub struct TransferRequest {
     /// Needed for requests that are waiting now.
     pub need: Tokens,
     /// Welcome, to save further messages.
@@ -15,15 +15,15 @@
 
 /// What to ask for when requests worth `need` wait and about `per_second` tokens a second are
 /// spent here.
-pub fn ask(policy: &PolicyRow, need: Tokens, per_second: Tokens) -> Ask {
+pub fn ask(policy: &PolicyRow, need: Tokens, per_second: Tokens) -> TransferRequest {
     let chunk = Tokens(per_second.0.saturating_mul(policy.chunk_seconds.into()));
-    Ask { need, want: need.max(chunk) }
+    TransferRequest { need, want: need.max(chunk) }
 }
 
 /// How much of `available` to give to one that asks. The needed part is given if it is there at
 /// all; the welcome part only up to half of what is left, so that amounts shrink as a budget runs
 /// low and the last rights are not carried back and forth.
-pub fn give(available: Tokens, ask: Ask) -> Tokens {
+pub fn transfer_amount(available: Tokens, ask: TransferRequest) -> Tokens {
     let generous = ask.want.min(available.scaled(1, 2));
     ask.need.max(generous).min(available)
 }
@@ -46,7 +46,12 @@
 /// is a floor by weight plus the rest by demand. Only a zone above its target gives, and only
 /// half of the smaller of surplus and deficit, so that two zones acting on old news don't swap
 /// rights for ever. Moves below a twentieth of the target are left alone.
-pub fn level(policy: &PolicyRow, zones: &[ZoneShare], own: usize, other: usize) -> Tokens {
+pub fn rebalance_amount(
+    policy: &PolicyRow,
+    zones: &[ZoneShare],
+    own: usize,
+    other: usize,
+) -> Tokens {
     let target = |zone: &ZoneShare| target_of(policy, zones, zone);
     let surplus = zones[own].available - target(&zones[own]);
     let deficit = target(&zones[other]) - zones[other].available;
@@ -72,7 +77,7 @@
 }
 
 /// How much of a recalled amount an account gives back at once.
-pub fn give_back(available: Tokens, recall: Tokens, zones: u64) -> Tokens {
+pub fn recall_share(available: Tokens, recall: Tokens, zones: u64) -> Tokens {
     let share = recall.scaled(1, zones.max(1)).max(Tokens(1)).min(recall);
     share.min(available)
 }
@@ -80,7 +85,7 @@
 /// Tokens a second, averaged over about two minutes: a tenant that happens to be idle in a zone for
 /// some seconds must not lose the zone's share just before a cut.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct DemandRate {
+pub struct DemandAverage {
     per_second: f64,
     gathered: u64,
 }
@@ -88,14 +93,14 @@
 /// Weight of the newest interval in the average, per second of its length.
 const NEWEST_WEIGHT_PER_SECOND: f64 = 0.008;
 
-impl DemandRate {
+impl DemandAverage {
     /// Notes a request that may cost `amount`.
-    pub fn note(&mut self, amount: Tokens) {
+    pub fn record(&mut self, amount: Tokens) {
         self.gathered = self.gathered.saturating_add(amount.0);
     }
 
     /// Closes an interval.
-    pub fn close(&mut self, interval: Millis) {
+    pub fn finish_interval(&mut self, interval: Millis) {
         let seconds = interval.0.max(1) as f64 / 1_000.0;
         let newest = self.gathered as f64 / seconds;
         let weight = (NEWEST_WEIGHT_PER_SECOND * seconds).min(1.0);
--- a/crates/ledger/tests/escrow.rs
+++ b/crates/ledger/tests/escrow.rs
@@ -1,7 +1,7 @@
 //! Rights are neither made nor lost by late, crossed and repeated messages.
 
 use proptest::prelude::*;
-use stackpost_ledger::policy::{self, Ask, ZoneShare};
+use stackpost_ledger::policy::{self, TransferRequest, ZoneShare};
 use stackpost_ledger::{
     AccountState, BillKind, Intent, MirrorMessage, MirroredAccount, OwnedAccount, Record,
 };
@@ -165,7 +165,7 @@
     /// Nobody gives what it has not, and what is needed is given if it is there.
     #[test]
     fn giving_stays_within_what_is_there(have in 0_u64..10_000, need in 0_u64..10_000, want in 0_u64..10_000) {
-        let given = policy::give(Tokens(have), Ask { need: Tokens(need), want: Tokens(want) });
+        let given = policy::transfer_amount(Tokens(have), TransferRequest { need: Tokens(need), want: Tokens(want) });
         prop_assert!(given <= Tokens(have));
         prop_assert!(given >= Tokens(need.min(have)));
     }
@@ -181,8 +181,8 @@
                 weight: 1,
             })
             .collect();
-        let there = policy::level(&PolicyRow::default(), &zones, 0, 1);
-        let back = policy::level(&PolicyRow::default(), &zones, 1, 0);
+        let there = policy::rebalance_amount(&PolicyRow::default(), &zones, 0, 1);
+        let back = policy::rebalance_amount(&PolicyRow::default(), &zones, 1, 0);
         prop_assert!(there.is_zero() || back.is_zero());
         prop_assert!(there <= zones[0].available);
     }
@@ -238,9 +238,12 @@
     assert_eq!(owned.backup_request(), Some(backup.clone()));
     assert_eq!(owned.released(), 0, "not before the view names it");
     let view = AccountRow { epoch: Epoch(2), backup: Some(backup.clone()), ..row.clone() };
-    assert_eq!(owned.on_view(Timestamp(3), &owner, &view), stackpost_ledger::ViewChange::Kept);
+    assert_eq!(
+        owned.on_view(Timestamp(3), &owner, &view),
+        stackpost_ledger::ViewChange::StillOwner
+    );
     assert_eq!(owned.released(), 1);
     let sealed = AccountRow { epoch: Epoch(3), owner: backup, backup: None, ..row };
     let ousted = owned.on_view(Timestamp(4), &owner, &sealed);
-    assert_eq!(ousted, stackpost_ledger::ViewChange::Ousted);
+    assert_eq!(ousted, stackpost_ledger::ViewChange::OwnershipLost);
 }
--- a/crates/mesh/src/connection.rs
+++ b/crates/mesh/src/connection.rs
@@ -1,6 +1,6 @@
 //! One connection: frames in both directions until it breaks.
 
-use crate::{MAX_FRAME_BYTES, SILENCE_LIMIT};
+use crate::{CONNECTION_IDLE_TIMEOUT, MAX_FRAME_BYTES};
 use bytes::Bytes;
 use futures::{SinkExt, StreamExt};
 use socket2::SockRef;
@@ -29,14 +29,14 @@
     let socket = SockRef::from(&stream);
     // Both options only shorten delays; a socket that refuses them still works.
     let _ = socket.set_tcp_nodelay(true);
-    let _ = socket.set_tcp_user_timeout(Some(SILENCE_LIMIT));
+    let _ = socket.set_tcp_user_timeout(Some(CONNECTION_IDLE_TIMEOUT));
     let codec = LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_codec();
     Framed::new(stream, codec)
 }
 
 /// The next frame, or why there is none.
 pub(crate) async fn next_frame(stream: &mut FrameStream) -> io::Result<Bytes> {
-    match timeout(SILENCE_LIMIT, stream.next()).await {
+    match timeout(CONNECTION_IDLE_TIMEOUT, stream.next()).await {
         Ok(Some(frame)) => Ok(frame?.freeze()),
         Ok(None) => Err(io::ErrorKind::ConnectionAborted.into()),
         Err(_) => Err(io::ErrorKind::TimedOut.into()),
@@ -52,7 +52,7 @@
     let (mut sink, mut source) = stream.split();
     let reading = async {
         loop {
-            match timeout(SILENCE_LIMIT, source.next()).await {
+            match timeout(CONNECTION_IDLE_TIMEOUT, source.next()).await {
                 Ok(Some(frame)) => on_frame(frame?.freeze()),
                 Ok(None) => return Err(io::Error::from(io::ErrorKind::ConnectionAborted)),
                 Err(_) => return Err(io::ErrorKind::TimedOut.into()),
--- a/crates/mesh/src/lib.rs
+++ b/crates/mesh/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! Every connection carries length-prefixed frames, each one message in postcard. Messages are
 //! one-way and may be lost: a sender repeats what it needs. A connection over which nothing has
-//! arrived for [`SILENCE_LIMIT`] is given up, so both ends must speak more often than that.
+//! arrived for [`CONNECTION_IDLE_TIMEOUT`] is given up, so both ends must speak more often than that.
 //!
 //! [`Mesh`] belongs to one thread and must be used inside a Tokio `LocalSet`.
 
@@ -15,6 +15,6 @@
 use std::time::Duration;
 
 /// A connection that has been silent for so long is closed.
-pub const SILENCE_LIMIT: Duration = Duration::from_millis(1_500);
+pub const CONNECTION_IDLE_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Largest frame, in bytes.
 pub const MAX_FRAME_BYTES: usize = 16 * 1024 * 1024;
--- a/crates/mesh/src/mesh.rs
+++ b/crates/mesh/src/mesh.rs
@@ -44,7 +44,7 @@
     /// The zone it stands in.
     pub zone: ZoneName,
     /// Where it accepts connections of the fleet.
-    pub listens_at: SocketAddr,
+    pub listen_address: SocketAddr,
 }
 
 /// Names one connection for as long as it lasts.
@@ -53,7 +53,7 @@
 
 impl LinkId {
     /// The connection with a number, for tests of what keeps books by connection.
-    pub fn numbered(number: u64) -> Self {
+    pub fn from_raw(number: u64) -> Self {
         Self(number)
     }
 }
@@ -143,7 +143,7 @@
         Ok(())
     }
 
-    /// Keeps a connection to `address` until [`Self::forget`]. Does nothing if there is one.
+    /// Keeps a connection to `address` until [`Self::stop_dialing`]. Does nothing if there is one.
     pub fn dial(&self, address: SocketAddr) {
         if !self.shared.dialed.borrow_mut().insert(address) {
             return;
@@ -163,7 +163,7 @@
     }
 
     /// Dials `address` no more; an open connection stays until it breaks.
-    pub fn forget(&self, address: SocketAddr) {
+    pub fn stop_dialing(&self, address: SocketAddr) {
         self.shared.dialed.borrow_mut().remove(&address);
     }
 
--- a/crates/prepaid/src/ledger.rs
+++ b/crates/prepaid/src/ledger.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 /// Time out of touch after which a router may begin to draw on its reserve.
-pub const RESERVE_LOCK: Millis = Millis(1_200);
+pub const RESERVE_UNLOCK_DELAY: Millis = Millis(1_200);
 
 /// A reading of the steady clock of one machine, in milliseconds. It goes on over the restarts of
 /// processes and begins anew, somewhere, when the machine does.
@@ -24,14 +24,14 @@
 
 /// A moment in the life of a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Contact {
+pub struct BootTimestamp {
     /// Names the machine's life; steady clocks of two lives can't be compared.
     pub boot: u64,
     /// The moment.
     pub at: SteadyTime,
 }
 
-impl Contact {
+impl BootTimestamp {
     /// Time since `earlier`; `None` if that is a moment of another life, or later.
     pub fn since(self, earlier: Self) -> Option<Millis> {
         if self.boot == earlier.boot { self.at.since(earlier.at) } else { None }
@@ -40,21 +40,21 @@
 
 /// How fast a reserve may be drawn on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Pace {
+pub struct DrawRate {
     /// At once.
     pub burst: Tokens,
     /// Each second after that.
     pub per_second: Tokens,
 }
 
-impl Pace {
+impl DrawRate {
     /// The most that is drawn in `elapsed` after the lock has opened.
-    pub fn drawn_in(&self, elapsed: Millis) -> Tokens {
+    pub fn max_drawn_within(&self, elapsed: Millis) -> Tokens {
         self.burst + self.per_second.scaled(elapsed.0, 1_000)
     }
 
     /// The faster of both, part by part.
-    pub fn or_faster(self, other: Self) -> Self {
+    pub fn component_max(self, other: Self) -> Self {
         Self {
             burst: self.burst.max(other.burst),
             per_second: self.per_second.max(other.per_second),
@@ -66,20 +66,20 @@
 /// the pace.
 ///
 /// In touch the router spends the hand. What was allotted beyond it is its reserve, for the time
-/// out of touch: it opens [`RESERVE_LOCK`] after the last contact and is drawn on at a bounded
+/// out of touch: it opens [`RESERVE_UNLOCK_DELAY`] after the last contact and is drawn on at a bounded
 /// pace, so that what a dead router can have spent is bounded by how long it may have lived.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Allotment {
     /// Hand and reserve.
     pub allotted: Tokens,
     /// The hand.
-    pub hand: Tokens,
+    pub primary: Tokens,
     /// Given back of the hand in all.
     pub returned: Tokens,
     /// Given back of the reserve in all.
     pub released: Tokens,
     /// How fast the reserve may be drawn on.
-    pub pace: Pace,
+    pub draw_rate: DrawRate,
 }
 
 impl Allotment {
@@ -89,33 +89,34 @@
     }
 
     /// What the hand may cover: a reserve that was released while the hand grew out of it is gone.
-    pub fn usable_hand(&self) -> Tokens {
-        self.hand.min(self.kept())
+    pub fn usable_primary(&self) -> Tokens {
+        self.primary.min(self.kept())
     }
 
     /// The reserve.
     pub fn reserve(&self) -> Tokens {
-        self.kept() - self.usable_hand()
+        self.kept() - self.usable_primary()
     }
 
     fn kept(&self) -> Tokens {
         self.allotted - self.released
     }
 
-    /// What can have been spent `silent_for` after the last contact that is known of.
-    fn spent_at_most(&self, silent_for: Millis) -> Tokens {
-        let open_for = silent_for.0.checked_sub(RESERVE_LOCK.0).map(Millis);
-        let drawn = open_for.map(|open_for| self.pace.drawn_in(open_for)).unwrap_or_default();
-        (self.usable_hand() + drawn.min(self.reserve()) - self.returned).min(self.outstanding())
+    /// What can have been spent `since_contact` after the last contact that is known of.
+    fn spent_at_most(&self, since_contact: Millis) -> Tokens {
+        let open_for = since_contact.0.checked_sub(RESERVE_UNLOCK_DELAY.0).map(Millis);
+        let drawn =
+            open_for.map(|open_for| self.draw_rate.max_drawn_within(open_for)).unwrap_or_default();
+        (self.usable_primary() + drawn.min(self.reserve()) - self.returned).min(self.outstanding())
     }
 
     /// Takes over totals that may come late or twice.
     pub fn merge(&mut self, other: &Self) {
         self.allotted = self.allotted.max(other.allotted);
-        self.hand = self.hand.max(other.hand);
+        self.primary = self.primary.max(other.primary);
         self.returned = self.returned.max(other.returned);
         self.released = self.released.max(other.released);
-        self.pace = self.pace.or_faster(other.pace);
+        self.draw_rate = self.draw_rate.component_max(other.draw_rate);
     }
 }
 
@@ -129,14 +130,14 @@
     /// How much more is allotted.
     pub amount: Tokens,
     /// How much the hand grows, out of `amount` or out of the reserve.
-    pub to_hand: Tokens,
+    pub to_primary: Tokens,
     /// The pace for the reserve.
-    pub pace: Pace,
+    pub draw_rate: DrawRate,
 }
 
 /// What a router has given back of one tenant's budget.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct GivenBack {
+pub struct TokenReturn {
     /// The router life.
     pub holder: NodeId,
     /// The tenant.
@@ -151,17 +152,17 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct Holder {
     /// The last contact with a leader that is known of, by the clock of the router's machine.
-    contact: Option<Contact>,
+    contact: Option<BootTimestamp>,
     allotments: BTreeMap<TenantName, Allotment>,
 }
 
 /// What is known of the end of a router life.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum LifeEnd {
+pub enum IncarnationEnd {
     /// It stopped as planned and said what it had spent.
-    Told(BTreeMap<TenantName, Tokens>),
+    Reported(BTreeMap<TenantName, Tokens>),
     /// It had ended by then, by the clock of its machine.
-    Before(Contact),
+    EndedBefore(BootTimestamp),
     /// It has ended, nobody knows when.
     Unknown,
 }
@@ -224,7 +225,7 @@
     }
 
     /// The last contact of a holder that is known of.
-    pub fn contact(&self, holder: &NodeId) -> Option<Contact> {
+    pub fn contact(&self, holder: &NodeId) -> Option<BootTimestamp> {
         self.holders.get(holder).and_then(|held| held.contact)
     }
 
@@ -251,19 +252,19 @@
         let of_holder = self.holders.entry(grant.holder.clone()).or_default();
         let allotment = of_holder.allotments.entry(grant.tenant.clone()).or_default();
         allotment.allotted += amount;
-        allotment.hand = (allotment.hand + grant.to_hand).min(allotment.allotted);
-        allotment.pace = allotment.pace.or_faster(grant.pace);
+        allotment.primary = (allotment.primary + grant.to_primary).min(allotment.allotted);
+        allotment.draw_rate = allotment.draw_rate.component_max(grant.draw_rate);
     }
 
     /// Takes in what a holder has given back in all. One that is closed can give nothing back: it
     /// has been charged already.
-    pub fn give_back(&mut self, given: &GivenBack) {
+    pub fn record_return(&mut self, given: &TokenReturn) {
         let of_holder = self.holders.get_mut(&given.holder);
         let allotment = of_holder.and_then(|held| held.allotments.get_mut(&given.tenant));
         if let Some(allotment) = allotment {
             let released = given.released.min(allotment.allotted);
             allotment.released = allotment.released.max(released);
-            allotment.returned = allotment.returned.max(given.returned.min(allotment.hand));
+            allotment.returned = allotment.returned.max(given.returned.min(allotment.primary));
         }
     }
 
@@ -271,10 +272,10 @@
     /// or given back, some time after. What is gone beyond the hand was drawn from the reserve in
     /// an earlier time out of touch; it moves to the hand, because from now on the reserve is
     /// bounded by the time since this contact.
-    pub fn note_contact(
+    pub fn record_contact(
         &mut self,
         holder: &NodeId,
-        contact: Contact,
+        contact: BootTimestamp,
         gone: &[(TenantName, Tokens)],
     ) {
         let Some(held) = self.holders.get_mut(holder) else {
@@ -286,28 +287,28 @@
         held.contact = Some(contact);
         for (tenant, gone) in gone {
             if let Some(allotment) = held.allotments.get_mut(tenant) {
-                allotment.hand = allotment.hand.max(*gone).min(allotment.allotted);
+                allotment.primary = allotment.primary.max(*gone).min(allotment.allotted);
             }
         }
     }
 
     /// Ends a router life and charges the most that it can have spent. Returns the charges.
-    pub fn close(&mut self, holder: &NodeId, end: &LifeEnd) -> Vec<Charge> {
+    pub fn close(&mut self, holder: &NodeId, end: &IncarnationEnd) -> Vec<Charge> {
         let mut charges = Vec::new();
         let Some(held) = self.holders.remove(holder) else {
             return charges;
         };
-        let silent_for = match (end, held.contact) {
-            (LifeEnd::Before(end), Some(contact)) => end.since(contact),
+        let since_contact = match (end, held.contact) {
+            (IncarnationEnd::EndedBefore(end), Some(contact)) => end.since(contact),
             _ => None,
         };
         for (tenant, allotment) in held.allotments {
             let outstanding = allotment.outstanding();
-            let charge = match (end, silent_for) {
-                (LifeEnd::Told(spent), _) => {
+            let charge = match (end, since_contact) {
+                (IncarnationEnd::Reported(spent), _) => {
                     spent.get(&tenant).map_or(outstanding, |spent| outstanding.min(*spent))
                 }
-                (_, Some(silent_for)) => allotment.spent_at_most(silent_for),
+                (_, Some(since_contact)) => allotment.spent_at_most(since_contact),
                 (_, None) => outstanding,
             };
             *self.closed.entry(tenant.clone()).or_default() += charge;
@@ -317,7 +318,7 @@
     }
 
     /// Open lives of the machine of `current` other than that one.
-    pub fn earlier_lives(&self, current: &NodeId) -> Vec<NodeId> {
+    pub fn earlier_incarnations(&self, current: &NodeId) -> Vec<NodeId> {
         let machine: &MachineName = &current.machine;
         self.holders
             .keys()
--- a/crates/prepaid/src/lib.rs
+++ b/crates/prepaid/src/lib.rs
@@ -11,14 +11,14 @@
 mod ledger;
 mod policy;
 mod rate;
-mod rations;
+mod scarce_limiter;
 mod wallet;
 
 pub use ledger::{
-    Allotment, Charge, Contact, GivenBack, Grant, LifeEnd, Pace, PrepaidLedger, RESERVE_LOCK,
-    SteadyTime,
+    Allotment, BootTimestamp, Charge, DrawRate, Grant, IncarnationEnd, PrepaidLedger,
+    RESERVE_UNLOCK_DELAY, SteadyTime, TokenReturn,
 };
-pub use policy::{AccountReport, Outlook, Plan, Recall, ShortBudget, plan};
+pub use policy::{AccountReport, BudgetForecast, BudgetShortage, Plan, Recall, plan};
 pub use rate::DemandRate;
-pub use rations::{Rations, ration};
+pub use scarce_limiter::{ScarceBudgetLimiter, scarce_allowance};
 pub use wallet::{Balance, Shortfall, Wallet};
--- a/crates/prepaid/src/policy.rs
+++ b/crates/prepaid/src/policy.rs
@@ -4,8 +4,8 @@
 //! its reserve, which covers the time out of touch. What a router holds when its machine loses
 //! power is lost to the tenant, so both shrink the closer a budget comes to its end.
 
-use crate::ledger::{Grant, Pace, PrepaidLedger};
-use crate::rations::Rations;
+use crate::ledger::{DrawRate, Grant, PrepaidLedger};
+use crate::scarce_limiter::ScarceBudgetLimiter;
 use serde::{Deserialize, Serialize};
 use stackpost_types::{Millis, NodeId, TenantName, Tokens};
 use std::collections::BTreeMap;
@@ -35,7 +35,7 @@
 /// requests only. No reserve is made of it, so no fault strands it: a tenant near the end of its
 /// budget is still served something afterwards.
 const LAST_PERMILLE: u64 = 5;
-/// Part of every limit, in thousandths, that is handed out only after most of the fleet was lost ([`Rations`]).
+/// Part of every limit, in thousandths, that is handed out only after most of the fleet was lost ([`ScarceBudgetLimiter`]).
 const GUARD_PERMILLE: u64 = 7;
 /// Part of every limit, in thousandths, that is never handed out: a margin for what an engine may
 /// count beyond what it was seen to hand out.
@@ -60,7 +60,7 @@
     /// The largest request that did not fit, of a scarce budget the smallest; zero if all did.
     pub wanted: Tokens,
     /// The largest request seen.
-    pub largest: Tokens,
+    pub largest_request: Tokens,
     /// Demand in tokens per second.
     pub rate: Tokens,
 }
@@ -78,7 +78,7 @@
 
 /// A budget that some router wants more of than it holds, as the leader sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ShortBudget {
+pub struct BudgetShortage {
     /// The tenant.
     pub tenant: TenantName,
     /// Its limit.
@@ -99,16 +99,16 @@
     /// To be asked of routers.
     pub recalls: Vec<Recall>,
     /// Budgets that are going to run out.
-    pub outlooks: BTreeMap<TenantName, Outlook>,
+    pub forecasts: BTreeMap<TenantName, BudgetForecast>,
     /// Budgets that some router wants more of, for logs.
-    pub short: Vec<ShortBudget>,
+    pub shortages: Vec<BudgetShortage>,
 }
 
 /// How long a budget is going to last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Outlook {
+pub enum BudgetForecast {
     /// So long, if the demand stays as it was of late.
-    Lasts(Millis),
+    ExhaustedIn(Millis),
     /// Only its last part is left: cheap requests alone should draw on it.
     Scarce,
 }
@@ -118,14 +118,14 @@
     holder: &'a NodeId,
     report: AccountReport,
     /// What the hand has left.
-    hand: Tokens,
+    primary: Tokens,
     /// What has been drawn from the reserve; the hand has to make it good first.
     overdrawn: Tokens,
     /// Hand and reserve, less what has been used.
     held: Tokens,
     /// Given back since the ledger was told last. That is taken in before what the same round hands out.
     given_back: Tokens,
-    pace: Pace,
+    draw_rate: DrawRate,
 }
 
 impl Share<'_> {
@@ -140,13 +140,13 @@
 
     /// Whether a request waits there, for more or for a part of the reserve.
     fn waits(&self) -> bool {
-        self.report.wanted > self.hand
+        self.report.wanted > self.primary
     }
 }
 
 /// What a router should hold.
 struct Target {
-    hand: Tokens,
+    primary: Tokens,
     held: Tokens,
 }
 
@@ -155,9 +155,9 @@
     ledger: &PrepaidLedger,
     reports: &BTreeMap<NodeId, BTreeMap<TenantName, AccountReport>>,
     elapsed: Millis,
-    rations: &mut Rations,
+    scarce_limiter: &mut ScarceBudgetLimiter,
 ) -> Plan {
-    rations.begin_round(elapsed);
+    scarce_limiter.begin_round(elapsed);
     let mut plan = Plan::default();
     for (tenant, limit) in ledger.tenants() {
         let shares: Vec<Share<'_>> = reports
@@ -171,19 +171,19 @@
         let wanted = shares.iter().map(|share| share.report.wanted).max().unwrap_or_default();
         if !wanted.is_zero() {
             let (tenant, available) = (tenant.clone(), ledger.available(tenant));
-            plan.short.push(ShortBudget { tenant, limit, available, held, wanted });
+            plan.shortages.push(BudgetShortage { tenant, limit, available, held, wanted });
         }
         if end.pool.is_zero() && held < limit.scaled(SCARCE_HELD_PERMILLE, 1_000) {
-            plan.outlooks.insert(tenant.clone(), Outlook::Scarce);
-            plan_scarce(tenant, limit, &end, &shares, rations, &mut plan);
+            plan.forecasts.insert(tenant.clone(), BudgetForecast::Scarce);
+            plan_scarce(tenant, limit, &end, &shares, scarce_limiter, &mut plan);
         } else {
             if let Some(lasts) = lasts(end.pool + held, &shares) {
-                plan.outlooks.insert(tenant.clone(), Outlook::Lasts(lasts));
+                plan.forecasts.insert(tenant.clone(), BudgetForecast::ExhaustedIn(lasts));
             }
             plan_tenant(tenant, &end, &shares, &mut plan);
         }
     }
-    rations.keep(|tenant| plan.outlooks.get(tenant) == Some(&Outlook::Scarce));
+    scarce_limiter.keep(|tenant| plan.forecasts.get(tenant) == Some(&BudgetForecast::Scarce));
     plan
 }
 
@@ -222,17 +222,18 @@
     limit: Tokens,
     end: &BudgetEnd,
     shares: &[Share<'_>],
-    rations: &mut Rations,
+    scarce_limiter: &mut ScarceBudgetLimiter,
     plan: &mut Plan,
 ) {
-    let guard = if rations.is_guard_open() { end.guard } else { Tokens::ZERO };
+    let guard = if scarce_limiter.is_guard_open() { end.guard } else { Tokens::ZERO };
     let least = shares.iter().filter(|share| share.lacks()).map(Share::missing).min();
-    let ration = rations.allowed(tenant, limit, end.last.is_zero(), least.unwrap_or_default());
+    let scarce_allowance =
+        scarce_limiter.allowed(tenant, limit, end.last.is_zero(), least.unwrap_or_default());
     // What is moved from one router to another was rationed when it was handed out.
     let given_back: Tokens = shares.iter().map(|share| share.given_back).sum();
-    let allowed = (end.last + guard).min(ration) + given_back;
+    let allowed = (end.last + guard).min(scarce_allowance) + given_back;
     let granted = hand_out_scarce(tenant, allowed, shares, plan);
-    rations.take(tenant, granted - given_back);
+    scarce_limiter.take(tenant, granted - given_back);
 }
 
 /// Hands out to requests that wait alone: what lies in a hand for the next one lies there while the request comes to
@@ -247,7 +248,7 @@
     let mut left = allowed;
     let mut needy: Vec<&Share<'_>> = shares.iter().filter(|share| share.waits()).collect();
     needy.sort_by_key(|share| share.missing());
-    let nothing_ahead = Target { hand: Tokens::ZERO, held: Tokens::ZERO };
+    let nothing_ahead = Target { primary: Tokens::ZERO, held: Tokens::ZERO };
     for (place, share) in needy.iter().enumerate() {
         if share.missing() > left {
             let covered = &needy[..place];
@@ -299,11 +300,11 @@
     Share {
         holder,
         report,
-        hand: allotment.usable_hand() - gone,
-        overdrawn: gone - allotment.usable_hand(),
+        primary: allotment.usable_primary() - gone,
+        overdrawn: gone - allotment.usable_primary(),
         held: allotment.allotted - released - gone,
         given_back: (released - allotment.released) + (report.returned - allotment.returned),
-        pace: allotment.pace,
+        draw_rate: allotment.draw_rate,
     }
 }
 
@@ -338,7 +339,7 @@
 ) {
     for share in shares {
         let target = target(share, total, rate);
-        if share.held > target.held.scaled(EXCESS_PERMILLE, 1_000) + share.report.largest {
+        if share.held > target.held.scaled(EXCESS_PERMILLE, 1_000) + share.report.largest_request {
             plan.recalls.push(recall(tenant, share, target.held));
         }
     }
@@ -375,31 +376,34 @@
     let wish = if lacks_much { target.held - share.held } else { Tokens::ZERO };
     let amount = wish.min(left.scaled(GRANT_PERMILLE, 1_000)).max(urgent).min(left);
     let held = share.held + amount;
-    let hand_wish = target.hand.max(share.report.wanted).min(held);
-    let hand_lacks =
-        share.hand < target.hand.scaled(REFILL_PERMILLE, 1_000) || share.hand < share.report.wanted;
-    let lacking = hand_wish - share.hand + share.overdrawn;
-    let to_hand = if hand_lacks { lacking } else { Tokens::ZERO };
-    let pace = pace(share);
-    let faster = pace.per_second > share.pace.per_second.scaled(1_200, 1_000);
-    if amount.is_zero() && to_hand.is_zero() && !faster {
+    let hand_wish = target.primary.max(share.report.wanted).min(held);
+    let hand_lacks = share.primary < target.primary.scaled(REFILL_PERMILLE, 1_000)
+        || share.primary < share.report.wanted;
+    let lacking = hand_wish - share.primary + share.overdrawn;
+    let to_primary = if hand_lacks { lacking } else { Tokens::ZERO };
+    let draw_rate = draw_rate(share);
+    let faster = draw_rate.per_second > share.draw_rate.per_second.scaled(1_200, 1_000);
+    if amount.is_zero() && to_primary.is_zero() && !faster {
         return None;
     }
     let holder = share.holder.clone();
-    Some(Grant { holder, tenant: tenant.clone(), amount, to_hand, pace })
+    Some(Grant { holder, tenant: tenant.clone(), amount, to_primary, draw_rate })
 }
 
-fn pace(share: &Share<'_>) -> Pace {
+fn draw_rate(share: &Share<'_>) -> DrawRate {
     let rate = share.report.rate;
-    Pace { burst: rate.scaled(PACE_BURST.0, 1_000), per_second: rate.scaled(PACE_PERMILLE, 1_000) }
+    DrawRate {
+        burst: rate.scaled(PACE_BURST.0, 1_000),
+        per_second: rate.scaled(PACE_PERMILLE, 1_000),
+    }
 }
 
 /// Some time of its own demand, but no more than the router's fair part of all that is left.
 fn target(share: &Share<'_>, total: Tokens, rate: Tokens) -> Target {
     let own = share.report.rate;
     let fair = total.scaled(HANDS_PERMILLE, 1_000).scaled(own.0, rate.0.max(1));
-    let hand = own.scaled(HAND_TIME.0, 1_000).min(fair);
-    Target { hand, held: hand + reserve(own, total, rate) }
+    let primary = own.scaled(HAND_TIME.0, 1_000).min(fair);
+    Target { primary, held: primary + reserve(own, total, rate) }
 }
 
 /// What the reserve of a router with the demand `own` should hold of a budget that has `total` left. What routers hold
--- a/crates/prepaid/src/rate.rs
+++ b/crates/prepaid/src/rate.rs
@@ -21,7 +21,7 @@
 
 impl DemandRate {
     /// Notes that `amount` was asked for.
-    pub fn note(&mut self, now: Timestamp, amount: Tokens) {
+    pub fn record(&mut self, now: Timestamp, amount: Tokens) {
         self.advance(now);
         let slot = (self.current as usize) % BUCKETS;
         self.buckets[slot] = self.buckets[slot].saturating_add(amount.0);
--- a/crates/prepaid/src/rations.rs
+++ b/crates/prepaid/src/scarce_limiter.rs
@@ -22,7 +22,7 @@
 const LOST_TOGETHER: Millis = Millis(3_000);
 
 /// What may be handed out of a scarce budget `elapsed` after something was handed out last.
-pub fn ration(limit: Tokens, elapsed: Millis) -> Tokens {
+pub fn scarce_allowance(limit: Tokens, elapsed: Millis) -> Tokens {
     at_rate(limit, RATION_PER_MILLION, elapsed.min(RATION_SAVED))
 }
 
@@ -32,7 +32,7 @@
 
 /// The leader's rations of scarce budgets. They begin anew with each leader.
 #[derive(Clone, Debug, Default)]
-pub struct Rations {
+pub struct ScarceBudgetLimiter {
     /// What each tenant may have at once.
     saved: BTreeMap<TenantName, Tokens>,
     /// Time since the last round.
@@ -43,7 +43,7 @@
     lost: BTreeMap<MachineName, Timestamp>,
 }
 
-impl Rations {
+impl ScarceBudgetLimiter {
     /// A round begins, `elapsed` after the last one.
     pub fn begin_round(&mut self, elapsed: Millis) {
         self.elapsed = elapsed;
@@ -57,7 +57,7 @@
 
     /// Opens the guard if half of the fleet's routers, of which `routers` are there, or more were lost together. Returns
     /// how many then.
-    pub fn open_after_loss(&mut self, now: Timestamp, routers: usize) -> Option<usize> {
+    pub fn open_guard_after_loss(&mut self, now: Timestamp, routers: usize) -> Option<usize> {
         self.lost.retain(|_, at| now.since(*at) < LOST_TOGETHER);
         let lost = self.lost.len();
         if lost == 0 || 2 * lost < routers {
@@ -83,7 +83,7 @@
         least: Tokens,
     ) -> Tokens {
         let per_million = if only_guard { GUARD_RATION_PER_MILLION } else { RATION_PER_MILLION };
-        let most = ration(limit, RATION_SAVED).max(least);
+        let most = scarce_allowance(limit, RATION_SAVED).max(least);
         let saved = self.saved.entry(tenant.clone()).or_default();
         *saved = (*saved + at_rate(limit, per_million, self.elapsed)).min(most);
         *saved
--- a/crates/prepaid/src/wallet.rs
+++ b/crates/prepaid/src/wallet.rs
@@ -1,7 +1,7 @@
 //! The router's side: what it holds, has reserved and has spent.
 
-use crate::ledger::{Allotment, RESERVE_LOCK};
-use crate::policy::{AccountReport, Outlook};
+use crate::ledger::{Allotment, RESERVE_UNLOCK_DELAY};
+use crate::policy::{AccountReport, BudgetForecast};
 use crate::rate::DemandRate;
 use stackpost_types::{Millis, TenantName, Timestamp, Tokens};
 use std::collections::BTreeMap;
@@ -22,7 +22,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Balance {
     /// What the hand has left.
-    pub hand: Tokens,
+    pub primary: Tokens,
     /// What the reserve has left, locked or not.
     pub reserve: Tokens,
     /// What may be reserved now.
@@ -30,7 +30,7 @@
     /// Set aside for requests under way.
     pub reserved: Tokens,
     /// Time since the last contact with a leader.
-    pub silent_for: Millis,
+    pub since_contact: Millis,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -42,7 +42,7 @@
     wanted: Tokens,
     /// Whether only the end of the budget is left, by the leader's word.
     is_scarce: bool,
-    largest: Tokens,
+    largest_request: Tokens,
     /// Mean of the amounts asked for of late.
     mean: Tokens,
     demand: DemandRate,
@@ -69,8 +69,8 @@
     }
 
     /// What the hand has left.
-    fn hand_left(&self) -> Tokens {
-        self.allotment.usable_hand() - self.allotment.returned - self.used()
+    fn primary_left(&self) -> Tokens {
+        self.allotment.usable_primary() - self.allotment.returned - self.used()
     }
 
     /// What is held and not used, in the hand and in the reserve.
@@ -78,11 +78,13 @@
         self.allotment.outstanding() - self.used()
     }
 
-    /// What may be reserved when the last contact was `silent_for` ago.
-    fn spendable(&self, silent_for: Millis) -> Tokens {
-        let open_for = silent_for.0.checked_sub(RESERVE_LOCK.0).map(Millis);
-        let drawn = open_for.map(|open| self.allotment.pace.drawn_in(open)).unwrap_or_default();
-        let unlocked = self.allotment.usable_hand() + drawn.min(self.allotment.reserve());
+    /// What may be reserved when the last contact was `since_contact` ago.
+    fn spendable(&self, since_contact: Millis) -> Tokens {
+        let open_for = since_contact.0.checked_sub(RESERVE_UNLOCK_DELAY.0).map(Millis);
+        let drawn = open_for
+            .map(|open| self.allotment.draw_rate.max_drawn_within(open))
+            .unwrap_or_default();
+        let unlocked = self.allotment.usable_primary() + drawn.min(self.allotment.reserve());
         unlocked - self.allotment.returned - self.used()
     }
 }
@@ -96,7 +98,7 @@
 }
 
 impl Wallet {
-    /// Notes a contact with a leader. The reserve stays locked for [`RESERVE_LOCK`] from now.
+    /// Notes a contact with a leader. The reserve stays locked for [`RESERVE_UNLOCK_DELAY`] from now.
     pub fn on_contact(&mut self, now: Timestamp) {
         self.contact = self.contact.max(now);
     }
@@ -114,8 +116,8 @@
         amount: Tokens,
     ) -> Result<(), Shortfall> {
         let account = self.accounts.entry(tenant.clone()).or_default();
-        account.demand.note(now, amount);
-        account.largest = account.largest.max(amount);
+        account.demand.record(now, amount);
+        account.largest_request = account.largest_request.max(amount);
         account.note_amount(amount);
         self.retry_reserve(now, tenant, amount)
     }
@@ -127,10 +129,10 @@
         &mut self,
         tenant: &TenantName,
         amount: Tokens,
-        outlook: Option<Outlook>,
+        forecast: Option<BudgetForecast>,
     ) -> bool {
         let account = self.accounts.entry(tenant.clone()).or_default();
-        account.is_scarce = outlook == Some(Outlook::Scarce);
+        account.is_scarce = forecast == Some(BudgetForecast::Scarce);
         let is_cheap = amount <= account.mean.scaled(CHEAP_PERMILLE, 1_000);
         let admitted = !account.is_scarce || is_cheap;
         if !admitted {
@@ -146,9 +148,9 @@
         tenant: &TenantName,
         amount: Tokens,
     ) -> Result<(), Shortfall> {
-        let silent_for = now.since(self.contact);
+        let since_contact = now.since(self.contact);
         let account = self.accounts.entry(tenant.clone()).or_default();
-        let spendable = account.spendable(silent_for);
+        let spendable = account.spendable(since_contact);
         if spendable < amount {
             account.note_wanted(amount);
             return Err(Shortfall { missing: amount - spendable });
@@ -168,52 +170,52 @@
     /// Takes in what the ledger has handed to this life. Returns whether the hand has grown.
     pub fn on_allotted(&mut self, tenant: &TenantName, allotment: &Allotment) -> bool {
         let account = self.accounts.entry(tenant.clone()).or_default();
-        let before = account.allotment.hand;
+        let before = account.allotment.primary;
         account.allotment.merge(allotment);
-        account.allotment.hand > before
+        account.allotment.primary > before
     }
 
     /// Gives back what is held unused beyond `keep`, of the reserve first.
-    pub fn give_back_above(&mut self, tenant: &TenantName, keep: Tokens) {
+    pub fn return_excess(&mut self, tenant: &TenantName, keep: Tokens) {
         let Some(account) = self.accounts.get_mut(tenant) else {
             return;
         };
         let excess = account.unused() - keep;
-        let of_reserve = excess.min(account.unused() - account.hand_left());
-        let of_hand = (excess - of_reserve).min(account.hand_left());
+        let of_reserve = excess.min(account.unused() - account.primary_left());
+        let of_hand = (excess - of_reserve).min(account.primary_left());
         account.allotment.released += of_reserve;
         account.allotment.returned += of_hand;
     }
 
     /// Gives back what is held unused of every tenant for which `keeps` does not hold.
-    pub fn give_back_others(&mut self, keeps: impl Fn(&TenantName) -> bool) {
+    pub fn return_unneeded(&mut self, keeps: impl Fn(&TenantName) -> bool) {
         let unneeded = |(tenant, account): (&TenantName, &Account)| {
             let is_held = !account.unused().is_zero();
             (is_held && !keeps(tenant)).then(|| tenant.clone())
         };
         let tenants: Vec<TenantName> = self.accounts.iter().filter_map(unneeded).collect();
-        tenants.iter().for_each(|tenant| self.give_back_above(tenant, Tokens::ZERO));
+        tenants.iter().for_each(|tenant| self.return_excess(tenant, Tokens::ZERO));
     }
 
     /// What is held of `tenant`'s budget, for logs.
     pub fn balance(&self, now: Timestamp, tenant: &TenantName) -> Balance {
-        let silent_for = now.since(self.contact);
+        let since_contact = now.since(self.contact);
         let Some(account) = self.accounts.get(tenant) else {
-            return Balance { silent_for, ..Balance::default() };
+            return Balance { since_contact, ..Balance::default() };
         };
-        let hand = account.hand_left();
+        let primary = account.primary_left();
         Balance {
-            hand,
-            reserve: account.unused() - hand,
-            spendable: account.spendable(silent_for),
+            primary,
+            reserve: account.unused() - primary,
+            spendable: account.spendable(since_contact),
             reserved: account.reserved,
-            silent_for,
+            since_contact,
         }
     }
 
     /// What the hand of `tenant` has left.
-    pub fn hand_left(&self, tenant: &TenantName) -> Tokens {
-        self.accounts.get(tenant).map(Account::hand_left).unwrap_or_default()
+    pub fn primary_left(&self, tenant: &TenantName) -> Tokens {
+        self.accounts.get(tenant).map(Account::primary_left).unwrap_or_default()
     }
 
     /// Whether this router has had to do with any budget.
@@ -230,7 +232,7 @@
                 released: account.allotment.released,
                 used: account.used(),
                 wanted: std::mem::take(&mut account.wanted),
-                largest: account.largest,
+                largest_request: account.largest_request,
                 rate: account.demand.per_second(now),
             };
             (tenant.clone(), report)
--- a/crates/prepaid/tests/budget_ends.rs
+++ b/crates/prepaid/tests/budget_exhaustion.rs
@@ -31,9 +31,9 @@
     now: Timestamp,
     life: u64,
     ledger: PrepaidLedger,
-    rations: Rations,
+    scarce_limiter: ScarceBudgetLimiter,
     wallets: Vec<Wallet>,
-    outlook: Option<Outlook>,
+    forecast: Option<BudgetForecast>,
     served: Vec<u64>,
 }
 
@@ -48,9 +48,9 @@
             now: Timestamp(10_000),
             life: 1,
             ledger: PrepaidLedger::default(),
-            rations: Rations::default(),
+            scarce_limiter: ScarceBudgetLimiter::default(),
             wallets: (0..ROUTERS).map(|_| Wallet::default()).collect(),
-            outlook: Some(Outlook::Scarce),
+            forecast: Some(BudgetForecast::Scarce),
             served: Vec::new(),
         };
         fleet.ledger.set_limits(&[(tenant(), Tokens(limit))]);
@@ -64,8 +64,13 @@
 
     fn allot(&mut self, holder: &NodeId, amount: u64) {
         let (holder, amount) = (holder.clone(), Tokens(amount));
-        let grant =
-            Grant { holder, tenant: tenant(), amount, to_hand: amount, pace: Pace::default() };
+        let grant = Grant {
+            holder,
+            tenant: tenant(),
+            amount,
+            to_primary: amount,
+            draw_rate: DrawRate::default(),
+        };
         self.ledger.allot(&grant);
     }
 
@@ -80,7 +85,7 @@
     /// A request comes to a router; one that is covered costs `amount`.
     fn ask(&mut self, machine: usize, amount: u64) {
         let wallet = &mut self.wallets[machine];
-        wallet.admits(&tenant(), Tokens(amount), self.outlook);
+        wallet.admits(&tenant(), Tokens(amount), self.forecast);
         if wallet.retry_reserve(self.now, &tenant(), Tokens(amount)).is_ok() {
             wallet.settle(&tenant(), Tokens(amount), Tokens(amount));
             self.served.push(amount);
@@ -95,14 +100,14 @@
             let accounts: BTreeMap<_, _> = wallet.report(self.now).into_iter().collect();
             reports.insert(node(machine, self.life), accounts);
         }
-        let plan = plan(&self.ledger, &reports, ROUND, &mut self.rations);
-        self.outlook = plan.outlooks.get(&tenant()).copied();
+        let plan = plan(&self.ledger, &reports, ROUND, &mut self.scarce_limiter);
+        self.forecast = plan.forecasts.get(&tenant()).copied();
         self.take_back(&reports);
         plan.grants.iter().for_each(|grant| self.ledger.allot(grant));
         for recall in &plan.recalls {
             let machine = (0..ROUTERS).find(|machine| node(*machine, self.life) == recall.holder);
             let machine = machine.expect("a router of the test");
-            self.wallets[machine].give_back_above(&tenant(), recall.keep);
+            self.wallets[machine].return_excess(&tenant(), recall.keep);
         }
         self.tell_routers();
         assert!(self.ledger.issued(&tenant()) <= Tokens(LIMIT));
@@ -113,7 +118,7 @@
             for (tenant, account) in accounts {
                 let (holder, tenant) = (holder.clone(), tenant.clone());
                 let (returned, released) = (account.returned, account.released);
-                self.ledger.give_back(&GivenBack { holder, tenant, returned, released });
+                self.ledger.record_return(&TokenReturn { holder, tenant, returned, released });
             }
         }
     }
@@ -130,10 +135,10 @@
     fn lose_all(&mut self) {
         for machine in 0..ROUTERS {
             let lost = node(machine, self.life);
-            self.ledger.close(&lost, &LifeEnd::Unknown);
-            self.rations.on_router_lost(self.now, lost.machine);
+            self.ledger.close(&lost, &IncarnationEnd::Unknown);
+            self.scarce_limiter.on_router_lost(self.now, lost.machine);
         }
-        assert_eq!(self.rations.open_after_loss(self.now, ROUTERS), Some(ROUTERS));
+        assert_eq!(self.scarce_limiter.open_guard_after_loss(self.now, ROUTERS), Some(ROUTERS));
         self.life += 1;
         self.wallets = (0..ROUTERS).map(|_| Wallet::default()).collect();
         self.tell_routers();
@@ -186,21 +191,26 @@
 
 #[test]
 fn half_of_the_routers_must_be_lost_together() {
-    let (mut rations, machine) = (Rations::default(), |number| node(number, 1).machine);
+    let (mut scarce_limiter, machine) =
+        (ScarceBudgetLimiter::default(), |number| node(number, 1).machine);
     let at = |seconds: u64| Timestamp(1_000 * seconds);
-    assert_eq!(rations.open_after_loss(at(1), 0), None, "nothing was lost");
-    rations.on_router_lost(at(1), machine(0));
-    rations.on_router_lost(at(2), machine(0));
-    assert_eq!(rations.open_after_loss(at(2), 3), None, "one machine of three, twice");
-    rations.on_router_lost(at(6), machine(1));
-    assert_eq!(rations.open_after_loss(at(6), 3), None, "the other one was lost long before");
-    rations.on_router_lost(at(8), machine(2));
-    assert!(!rations.is_guard_open());
-    assert_eq!(rations.open_after_loss(at(8), 3), Some(2));
-    assert!(rations.is_guard_open());
-    assert_eq!(rations.open_after_loss(at(9), 3), None, "each loss counts once");
-    rations.begin_round(Millis(20_000));
-    assert!(!rations.is_guard_open());
+    assert_eq!(scarce_limiter.open_guard_after_loss(at(1), 0), None, "nothing was lost");
+    scarce_limiter.on_router_lost(at(1), machine(0));
+    scarce_limiter.on_router_lost(at(2), machine(0));
+    assert_eq!(scarce_limiter.open_guard_after_loss(at(2), 3), None, "one machine of three, twice");
+    scarce_limiter.on_router_lost(at(6), machine(1));
+    assert_eq!(
+        scarce_limiter.open_guard_after_loss(at(6), 3),
+        None,
+        "the other one was lost long before"
+    );
+    scarce_limiter.on_router_lost(at(8), machine(2));
+    assert!(!scarce_limiter.is_guard_open());
+    assert_eq!(scarce_limiter.open_guard_after_loss(at(8), 3), Some(2));
+    assert!(scarce_limiter.is_guard_open());
+    assert_eq!(scarce_limiter.open_guard_after_loss(at(9), 3), None, "each loss counts once");
+    scarce_limiter.begin_round(Millis(20_000));
+    assert!(!scarce_limiter.is_guard_open());
 }
 
 /// Each router holds a little less than a request costs, and nobody holds anything else.
@@ -218,18 +228,18 @@
 fn a_hand_holds_nothing_ahead_of_the_requests_once_a_budget_is_scarce() {
     let mut fleet = Fleet::start(0, 16_000);
     (0..20).for_each(|_| fleet.round());
-    let held: Tokens = fleet.wallets.iter().map(|wallet| wallet.hand_left(&tenant())).sum();
+    let held: Tokens = fleet.wallets.iter().map(|wallet| wallet.primary_left(&tenant())).sum();
     assert_eq!(held, Tokens::ZERO);
     fleet.ask(2, CHEAP);
     fleet.round();
-    assert_eq!(fleet.wallets[2].hand_left(&tenant()), Tokens(CHEAP));
+    assert_eq!(fleet.wallets[2].primary_left(&tenant()), Tokens(CHEAP));
 }
 
 #[test]
 fn the_leader_hears_of_the_smallest_request_of_a_scarce_budget_and_of_the_largest_of_others() {
-    for (outlook, told) in [(Some(Outlook::Scarce), 700), (None, 9_000)] {
+    for (forecast, told) in [(Some(BudgetForecast::Scarce), 700), (None, 9_000)] {
         let mut fleet = Fleet::start(0, 0);
-        fleet.outlook = outlook;
+        fleet.forecast = forecast;
         [900, 9_000, 700].into_iter().for_each(|amount| fleet.ask(0, amount));
         let (_, account) = fleet.wallets[0].report(fleet.now).remove(0);
         assert_eq!(account.wanted, Tokens(told));
@@ -239,10 +249,14 @@
 #[test]
 fn the_last_part_of_a_budget_is_rationed() {
     let limit = Tokens(1_000_000);
-    let second = ration(limit, Millis(1_000));
+    let second = scarce_allowance(limit, Millis(1_000));
     assert_eq!(second, Tokens(1_100));
-    assert_eq!(ration(limit, Millis(500)), Tokens(550));
-    assert_eq!(ration(limit, Millis(60_000)), ration(limit, Millis(2_000)), "little is saved up");
+    assert_eq!(scarce_allowance(limit, Millis(500)), Tokens(550));
+    assert_eq!(
+        scarce_allowance(limit, Millis(60_000)),
+        scarce_allowance(limit, Millis(2_000)),
+        "little is saved up"
+    );
 }
 
 /// One router that has used all but the last part of a budget.
@@ -256,26 +270,26 @@
         holder: holder.clone(),
         tenant: tenant(),
         amount: all_but_last,
-        to_hand: all_but_last,
-        pace: Pace::default(),
+        to_primary: all_but_last,
+        draw_rate: DrawRate::default(),
     });
     let mut used = all_but_last;
-    let mut rations = Rations::default();
+    let mut scarce_limiter = ScarceBudgetLimiter::default();
     for round in 0..40 {
         let report = AccountReport {
             used,
             wanted: Tokens(50),
-            largest: Tokens(4_000),
+            largest_request: Tokens(4_000),
             rate: Tokens(9_000),
             ..AccountReport::default()
         };
         let reports = BTreeMap::from([(holder.clone(), BTreeMap::from([(tenant(), report)]))]);
-        let plan = plan(&ledger, &reports, Millis(250), &mut rations);
-        assert_eq!(plan.outlooks.get(&tenant()), Some(&Outlook::Scarce));
+        let plan = plan(&ledger, &reports, Millis(250), &mut scarce_limiter);
+        assert_eq!(plan.forecasts.get(&tenant()), Some(&BudgetForecast::Scarce));
         plan.grants.iter().for_each(|grant| ledger.allot(grant));
-        used = ledger.allotment(&holder, &tenant()).hand;
+        used = ledger.allotment(&holder, &tenant()).primary;
         if round == 3 {
-            let second = ration(Tokens(LIMIT), Millis(1_000));
+            let second = scarce_allowance(Tokens(LIMIT), Millis(1_000));
             assert!(used <= all_but_last + second, "a second hands out one ration at most");
         }
     }
@@ -290,12 +304,12 @@
 fn a_budget_that_is_about_to_end_serves_every_request_until_it_is_scarce() {
     let mut wallet = Wallet::default();
     for amount in [12_000, 1_100, 2_400] {
-        let almost_over = Some(Outlook::Lasts(Millis(500)));
+        let almost_over = Some(BudgetForecast::ExhaustedIn(Millis(500)));
         assert!(wallet.admits(&tenant(), Tokens(amount), almost_over));
         assert!(wallet.reserve(Timestamp(1_000), &tenant(), Tokens(amount)).is_err());
     }
-    assert!(!wallet.admits(&tenant(), Tokens(12_000), Some(Outlook::Scarce)));
-    assert!(wallet.admits(&tenant(), Tokens(1_100), Some(Outlook::Scarce)));
+    assert!(!wallet.admits(&tenant(), Tokens(12_000), Some(BudgetForecast::Scarce)));
+    assert!(wallet.admits(&tenant(), Tokens(1_100), Some(BudgetForecast::Scarce)));
 }
 
 #[test]
@@ -305,12 +319,15 @@
     let outlook_at = |rate: u64| {
         let report = AccountReport { rate: Tokens(rate), ..AccountReport::default() };
         let reports = BTreeMap::from([(node(0, 1), BTreeMap::from([(tenant(), report)]))]);
-        plan(&ledger, &reports, ROUND, &mut Rations::default()).outlooks.get(&tenant()).copied()
+        plan(&ledger, &reports, ROUND, &mut ScarceBudgetLimiter::default())
+            .forecasts
+            .get(&tenant())
+            .copied()
     };
     // 983,000 tokens can be handed out by demand: 1.7 in 100 are kept for the end.
     assert_eq!(outlook_at(0), None);
     assert_eq!(outlook_at(10_000), None, "98 s");
-    assert_eq!(outlook_at(50_000), Some(Outlook::Lasts(Millis(19_000))));
+    assert_eq!(outlook_at(50_000), Some(BudgetForecast::ExhaustedIn(Millis(19_000))));
 }
 
 /// A pool of `pool` tokens, and two routers with `reports` that hold nothing.
@@ -327,12 +344,12 @@
         .collect();
     let used = AccountReport { used: Tokens(spent), ..AccountReport::default() };
     all.insert(node(2, 1), account(used));
-    plan(&ledger, &all, ROUND, &mut Rations::default())
+    plan(&ledger, &all, ROUND, &mut ScarceBudgetLimiter::default())
 }
 
 fn grant_to(holder: &NodeId, amount: u64) -> Grant {
     let (holder, amount) = (holder.clone(), Tokens(amount));
-    Grant { holder, tenant: tenant(), amount, to_hand: amount, pace: Pace::default() }
+    Grant { holder, tenant: tenant(), amount, to_primary: amount, draw_rate: DrawRate::default() }
 }
 
 fn granted(plan: &Plan, machine: usize) -> Tokens {
@@ -355,7 +372,7 @@
 fn of_a_budget_that_runs_out_most_lies_with_nobody() {
     let busy = AccountReport { rate: Tokens(50_000), ..AccountReport::default() };
     let plan = plan_for(100_000, [busy, busy]);
-    let handed: Tokens = plan.grants.iter().map(|grant| grant.to_hand).sum();
+    let handed: Tokens = plan.grants.iter().map(|grant| grant.to_primary).sum();
     assert!(handed <= Tokens(30_000), "{handed} of 100,000 lie in hands");
 }
 
@@ -365,7 +382,8 @@
     let busy = AccountReport { rate: Tokens(25_000), ..AccountReport::default() };
     let part_in_reserves = |pool: u64| {
         let plan = plan_for(pool, [busy, busy]);
-        let reserved: Tokens = plan.grants.iter().map(|grant| grant.amount - grant.to_hand).sum();
+        let reserved: Tokens =
+            plan.grants.iter().map(|grant| grant.amount - grant.to_primary).sum();
         reserved.scaled(1_000, pool)
     };
     let (lasts_long, runs_out) = (part_in_reserves(700_000), part_in_reserves(200_000));
--- a/crates/prepaid/tests/escrow.rs
+++ b/crates/prepaid/tests/escrow.rs
@@ -36,7 +36,7 @@
     ended: u64,
     in_flight: Vec<(usize, u64, u64)>,
     /// Open to the end of the budget after every router that was lost.
-    rations: Rations,
+    scarce_limiter: ScarceBudgetLimiter,
 }
 
 #[derive(Clone, Debug)]
@@ -79,7 +79,7 @@
             next_life: 1,
             ended: 0,
             in_flight: vec![],
-            rations: Rations::default(),
+            scarce_limiter: ScarceBudgetLimiter::default(),
         };
         for machine in 0..ROUTERS {
             let life = world.fresh(machine);
@@ -111,7 +111,7 @@
             }
             Step::Farewell { router } => {
                 let spent = self.lives[*router].wallet.used();
-                self.end_life(*router, &LifeEnd::Told(spent));
+                self.end_life(*router, &IncarnationEnd::Reported(spent));
             }
         }
     }
@@ -119,8 +119,8 @@
     /// One loss counts for that of the fleet here.
     fn lose(&mut self, router: usize) {
         let (now, machine) = (Timestamp(self.now), self.lives[router].node.machine.clone());
-        self.rations.on_router_lost(now, machine);
-        self.rations.open_after_loss(now, 1);
+        self.scarce_limiter.on_router_lost(now, machine);
+        self.scarce_limiter.open_guard_after_loss(now, 1);
     }
 
     fn request(&mut self, router: usize, amount: u64) {
@@ -155,7 +155,7 @@
                 .collect::<Vec<_>>();
             contacts.push((life.node.clone(), gone));
             for (tenant, account) in &accounts {
-                self.ledger.give_back(&GivenBack {
+                self.ledger.record_return(&TokenReturn {
                     holder: life.node.clone(),
                     tenant: tenant.clone(),
                     returned: account.returned,
@@ -165,7 +165,7 @@
             reports.insert(life.node.clone(), accounts);
         }
         let plan = if grants {
-            plan(&self.ledger, &reports, Millis(250), &mut self.rations)
+            plan(&self.ledger, &reports, Millis(250), &mut self.scarce_limiter)
         } else {
             Plan::default()
         };
@@ -173,8 +173,8 @@
             self.ledger.allot(grant);
         }
         for (node, gone) in contacts {
-            let contact = Contact { boot: 1, at: SteadyTime(self.now) };
-            self.ledger.note_contact(&node, contact, &gone);
+            let contact = BootTimestamp { boot: 1, at: SteadyTime(self.now) };
+            self.ledger.record_contact(&node, contact, &gone);
         }
         for (index, life) in self.lives.iter_mut().enumerate() {
             if !reach[index] || lost[index] {
@@ -184,7 +184,7 @@
                 life.wallet.on_allotted(&tenant, &allotment);
             }
             for recall in plan.recalls.iter().filter(|recall| recall.holder == life.node) {
-                life.wallet.give_back_above(&recall.tenant, recall.keep);
+                life.wallet.return_excess(&recall.tenant, recall.keep);
             }
         }
     }
@@ -192,14 +192,16 @@
     /// `same_boot`: the machine has lived on, so its clock bounds the life that has ended.
     fn replace(&mut self, router: usize, same_boot: Option<()>) {
         let end = match same_boot {
-            Some(()) => LifeEnd::Before(Contact { boot: 1, at: SteadyTime(self.now) }),
-            None => LifeEnd::Unknown,
+            Some(()) => {
+                IncarnationEnd::EndedBefore(BootTimestamp { boot: 1, at: SteadyTime(self.now) })
+            }
+            None => IncarnationEnd::Unknown,
         };
         self.end_life(router, &end);
     }
 
     /// A life that has ended must be charged what it has used, whatever is known of its end.
-    fn end_life(&mut self, router: usize, end: &LifeEnd) {
+    fn end_life(&mut self, router: usize, end: &IncarnationEnd) {
         let node = self.lives[router].node.clone();
         let charges = self.ledger.close(&node, end);
         let charged: u64 = charges.iter().map(|charge| charge.charge.0).sum();
@@ -299,34 +301,34 @@
 #[test]
 fn out_of_touch_the_reserve_opens_after_the_lock_and_not_before() {
     let mut world = settled_world();
-    let hand = world.lives[0].wallet.hand_left(&tenant());
-    let more_than_hand = hand + Tokens(1);
+    let primary = world.lives[0].wallet.primary_left(&tenant());
+    let more_than_hand = primary + Tokens(1);
     let now = Timestamp(world.now);
     let wallet = &mut world.lives[0].wallet;
     wallet.on_contact(now);
     assert!(wallet.reserve(now, &tenant(), more_than_hand).is_err());
-    let after = now + Millis(RESERVE_LOCK.0 + 2_000);
+    let after = now + Millis(RESERVE_UNLOCK_DELAY.0 + 2_000);
     assert!(wallet.reserve(after, &tenant(), more_than_hand).is_ok());
 }
 
 #[test]
 fn a_clock_that_has_begun_anew_bounds_nothing() {
-    let earlier = Contact { boot: 1, at: SteadyTime(5_000) };
-    assert_eq!(Contact { boot: 2, at: SteadyTime(9_000) }.since(earlier), None);
-    assert_eq!(Contact { boot: 1, at: SteadyTime(4_000) }.since(earlier), None);
-    assert_eq!(Contact { boot: 1, at: SteadyTime(5_400) }.since(earlier), Some(Millis(400)));
+    let earlier = BootTimestamp { boot: 1, at: SteadyTime(5_000) };
+    assert_eq!(BootTimestamp { boot: 2, at: SteadyTime(9_000) }.since(earlier), None);
+    assert_eq!(BootTimestamp { boot: 1, at: SteadyTime(4_000) }.since(earlier), None);
+    assert_eq!(BootTimestamp { boot: 1, at: SteadyTime(5_400) }.since(earlier), Some(Millis(400)));
 }
 
 #[test]
 fn late_and_repeated_totals_do_no_harm() {
     let newer = Allotment {
         allotted: Tokens(90),
-        hand: Tokens(30),
+        primary: Tokens(30),
         returned: Tokens(5),
         released: Tokens(2),
-        pace: Pace { burst: Tokens(2), per_second: Tokens(7) },
+        draw_rate: DrawRate { burst: Tokens(2), per_second: Tokens(7) },
     };
-    let older = Allotment { allotted: Tokens(60), hand: Tokens(20), ..Allotment::default() };
+    let older = Allotment { allotted: Tokens(60), primary: Tokens(20), ..Allotment::default() };
     let mut merged = newer;
     merged.merge(&older);
     merged.merge(&newer);
@@ -341,13 +343,13 @@
         holder: node(machine, 1),
         tenant: tenant(),
         amount: Tokens(amount),
-        to_hand: Tokens(amount),
-        pace: Pace::default(),
+        to_primary: Tokens(amount),
+        draw_rate: DrawRate::default(),
     };
     ledger.allot(&grant(0, 70));
     ledger.allot(&grant(1, 70));
     assert_eq!(ledger.issued(&tenant()), Tokens(100));
-    assert_eq!(ledger.allotment(&node(1, 1), &tenant()).hand, Tokens(30));
+    assert_eq!(ledger.allotment(&node(1, 1), &tenant()).primary, Tokens(30));
 }
 
 #[test]
@@ -364,7 +366,7 @@
     AccountReport {
         used: Tokens(used),
         wanted: Tokens(wanted),
-        largest: Tokens(40_000),
+        largest_request: Tokens(40_000),
         rate: Tokens(1_000),
         ..AccountReport::default()
     }
@@ -378,9 +380,9 @@
     let mut wallets: Vec<Wallet> = (0..ROUTERS).map(|_| Wallet::default()).collect();
     for (machine, wallet) in wallets.iter_mut().enumerate() {
         let amount = Tokens(LIMIT * 33 / 100);
-        let to_hand = Tokens(1_000);
-        let (holder, pace) = (node(machine, 1), Pace::default());
-        ledger.allot(&Grant { holder, tenant: tenant(), amount, to_hand, pace });
+        let to_primary = Tokens(1_000);
+        let (holder, draw_rate) = (node(machine, 1), DrawRate::default());
+        ledger.allot(&Grant { holder, tenant: tenant(), amount, to_primary, draw_rate });
         let allotment = ledger.allotment(&node(machine, 1), &tenant());
         wallet.on_allotted(&tenant(), &allotment);
     }
@@ -391,24 +393,24 @@
             (node(machine, 1), BTreeMap::from([(tenant(), report)]))
         })
         .collect();
-    let planned = plan(&ledger, &reports, Millis(250), &mut Rations::default());
+    let planned = plan(&ledger, &reports, Millis(250), &mut ScarceBudgetLimiter::default());
     for recall in &planned.recalls {
         let machine = (0..ROUTERS).find(|machine| node(*machine, 1) == recall.holder);
         let machine = machine.expect("a router of the test");
         assert_ne!(machine, 0, "nothing is taken from whoever is short");
-        wallets[machine].give_back_above(&tenant(), recall.keep);
+        wallets[machine].return_excess(&tenant(), recall.keep);
         let (_, account) = wallets[machine].report(Timestamp(1)).remove(0);
-        ledger.give_back(&GivenBack {
+        ledger.record_return(&TokenReturn {
             holder: recall.holder.clone(),
             tenant: tenant(),
             returned: account.returned,
             released: account.released,
         });
     }
-    let next = plan(&ledger, &reports, Millis(250), &mut Rations::default());
+    let next = plan(&ledger, &reports, Millis(250), &mut ScarceBudgetLimiter::default());
     next.grants.iter().for_each(|grant| ledger.allot(grant));
     let allotment = ledger.allotment(&node(0, 1), &tenant());
-    assert!(allotment.usable_hand() >= Tokens(60_000), "hand {}", allotment.usable_hand());
+    assert!(allotment.usable_primary() >= Tokens(60_000), "hand {}", allotment.usable_primary());
     assert!(ledger.issued(&tenant()) <= Tokens(LIMIT));
 }
 
@@ -418,19 +420,19 @@
     let mut ledger = PrepaidLedger::default();
     ledger.set_limits(&[(tenant(), Tokens(LIMIT))]);
     let mut wallet = Wallet::default();
-    let grant = |amount, to_hand| Grant {
+    let grant = |amount, to_primary| Grant {
         holder: node(0, 1),
         tenant: tenant(),
         amount: Tokens(amount),
-        to_hand: Tokens(to_hand),
-        pace: Pace::default(),
+        to_primary: Tokens(to_primary),
+        draw_rate: DrawRate::default(),
     };
     ledger.allot(&grant(100, 10));
     wallet.on_allotted(&tenant(), &ledger.allotment(&node(0, 1), &tenant()));
     ledger.allot(&grant(0, 80));
-    wallet.give_back_above(&tenant(), Tokens(10));
+    wallet.return_excess(&tenant(), Tokens(10));
     let (_, account) = wallet.report(Timestamp(1)).remove(0);
-    ledger.give_back(&GivenBack {
+    ledger.record_return(&TokenReturn {
         holder: node(0, 1),
         tenant: tenant(),
         returned: account.returned,
@@ -449,15 +451,15 @@
     let mut world = settled_world();
     world.round(&all(true), &all(false), true);
     let heard = world.now;
-    let suspended = RESERVE_LOCK.0 + 3_000;
+    let suspended = RESERVE_UNLOCK_DELAY.0 + 3_000;
     world.now += suspended;
     while world.lives[0].wallet.reserve(Timestamp(world.now), &tenant(), Tokens(10)).is_ok() {
         world.lives[0].used += 10;
     }
     let counted = if clock_goes_on { suspended } else { 0 };
-    let end = Contact { boot: 1, at: SteadyTime(heard + counted) };
+    let end = BootTimestamp { boot: 1, at: SteadyTime(heard + counted) };
     let node = world.lives[0].node.clone();
-    let charges = world.ledger.close(&node, &LifeEnd::Before(end));
+    let charges = world.ledger.close(&node, &IncarnationEnd::EndedBefore(end));
     (world.lives[0].used, charges.iter().map(|charge| charge.charge.0).sum())
 }
 
@@ -480,7 +482,7 @@
 fn a_router_that_wakes_draws_no_more_than_the_ledger_has_counted() {
     let mut world = settled_world();
     world.round(&all(true), &all(false), true);
-    for pause in [RESERVE_LOCK.0 + 3_000, 40, 40, 2_000] {
+    for pause in [RESERVE_UNLOCK_DELAY.0 + 3_000, 40, 40, 2_000] {
         world.now += pause;
         while world.lives[0].wallet.reserve(Timestamp(world.now), &tenant(), Tokens(10)).is_ok() {
             world.lives[0].used += 10;
