--- a/crates/protocol/src/keys.rs
+++ b/crates/protocol/src/keys.rs
@@ -23,18 +23,18 @@
     /// The request that asked.
     pub request: RequestId,
     /// The answer.
-    pub verdict: ClaimVerdict,
+    pub result: ClaimResult,
 }
 
 /// What the keeper says of a key.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum ClaimVerdict {
+pub enum ClaimResult {
     /// The request may run.
     Granted,
     /// Another request has the key.
     HeldBy(KeyClaim),
     /// The key was used with other content.
-    OtherContent,
+    FingerprintMismatch,
     /// The zone has lost its records: whether the key was used is not known.
     Forgotten,
 }
@@ -47,23 +47,23 @@
     /// The request that ran.
     pub request: RequestId,
     /// The request that asks.
-    pub asker: RequestId,
+    pub requester: RequestId,
 }
 
 /// The answer to [`FetchAnswer`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FetchReply {
     /// The request that asked.
-    pub asker: RequestId,
+    pub requester: RequestId,
     /// The request asked about.
     pub request: RequestId,
     /// What is known.
-    pub verdict: FetchVerdict,
+    pub result: FetchResult,
 }
 
 /// What is known of a request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum FetchVerdict {
+pub enum FetchResult {
     /// It is being worked on.
     Running,
     /// It ended, and this is its answer.
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,12 +1,12 @@
 //! Messages between the processes of the fleet.
 //!
 //! All are one-way: a sender repeats what it needs an answer to, and every receiver tolerates
-//! messages that are late, repeated, crossed or lost. Batches travel as one [`Parcel`].
+//! messages that are late, repeated, crossed or lost. Batches travel as one [`MessageBatch`].
 
 mod keys;
 mod rights;
 
-pub use keys::{ClaimKey, ClaimReply, ClaimVerdict, FetchAnswer, FetchReply, FetchVerdict};
+pub use keys::{ClaimKey, ClaimReply, ClaimResult, FetchAnswer, FetchReply, FetchResult};
 pub use rights::{HoldingRow, Holdings, Pull, PullReply, Transfer, TransferAck};
 
 use serde::{Deserialize, Serialize};
@@ -45,7 +45,7 @@
 
 /// Messages that travel together.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Parcel {
+pub struct MessageBatch {
     /// The sender.
     pub from: Peer,
     /// The receiver; a router of another life drops the parcel.
--- a/crates/protocol/src/rights.rs
+++ b/crates/protocol/src/rights.rs
@@ -28,7 +28,7 @@
     /// The account that asked.
     pub to: AccountId,
     /// What is being sent.
-    pub given: Tokens,
+    pub granted: Tokens,
     /// What is reserved there and may yet come free.
     pub reserved: Tokens,
     /// Other accounts believed to have rights available.
--- a/crates/router-core/src/accounts.rs
+++ b/crates/router-core/src/accounts.rs
@@ -54,9 +54,9 @@
         let (now, me) = (self.now, self.config.node.clone());
         if let Some(owned) = self.owned.get_mut(account) {
             match owned.on_view(now, &me, &row) {
-                ViewChange::Ousted => self.on_ousted(account),
-                ViewChange::Kept => {
-                    self.links.requested_at.remove(account);
+                ViewChange::OwnershipLost => self.on_ousted(account),
+                ViewChange::StillOwner => {
+                    self.backup_search.requested_at.remove(account);
                 }
                 ViewChange::Unchanged => {}
             }
@@ -89,7 +89,7 @@
         self.start_retention(account);
         // What a backup holds was recorded by the former owner; nobody else has another copy.
         let up_to = self.owned[account].state().last_bill();
-        self.bills_released(account, up_to);
+        self.mark_bills_mirrored(account, up_to);
     }
 
     /// Rows that came before the ownership was known are looked at again.
@@ -114,8 +114,8 @@
 
     fn on_ousted(&mut self, account: &AccountId) {
         self.owned.remove(account);
-        self.waiters.remove(account);
-        self.timers.deliveries.remove(account);
+        self.deferred_actions.remove(account);
+        self.timers.bill_deliveries.remove(account);
         self.rights.outgoing.retain(|(from, ..), _| from != account);
         if *account != self.main {
             return;
@@ -132,13 +132,13 @@
     fn fence(&mut self) {
         let calls: Vec<CallId> = self.calls.keys().copied().collect();
         for id in calls {
-            let ran = self.calls.get(&id).is_some_and(|call| call.may_be_taken_for_run());
+            let ran = self.calls.get(&id).is_some_and(|call| call.counts_as_run());
             let detail = "another machine has taken this router's account over";
             let refusal = match ran {
                 true => Refusal::unknown(RefusalReason::RouterFenced, detail),
                 false => Refusal::not_run(RefusalReason::RouterFenced, detail),
             };
-            self.refuse(id, refusal.retry_after(crate::rights::RETRY_AFTER_CUT));
+            self.refuse(id, refusal.retry_after(crate::rights::RETRY_AFTER_PARTITION));
         }
         self.fenced = true;
         self.effects.push(Effect::Fenced);
@@ -201,7 +201,7 @@
         if let Some(candidate) = owned.candidate().cloned() {
             let silent = owned.candidate_silence(now).is_some_and(|s| s > CANDIDATE_TIMEOUT);
             if silent {
-                self.links.avoided_until.insert(candidate, now + AVOID_FOR);
+                self.backup_search.avoided_until.insert(candidate, now + AVOID_FOR);
                 if let Some(owned) = self.owned.get_mut(account) {
                     owned.drop_candidate();
                 }
@@ -232,7 +232,7 @@
             .filter(|(_, row)| row.state == AccountState::Active)
             .map(|(_, row)| &row.owner)
             .filter(|node| node.machine != self.config.node.machine && Some(*node) != except)
-            .filter(|node| !self.links.is_avoided(node, now))
+            .filter(|node| !self.backup_search.is_avoided(node, now))
             .max_by_key(|node| {
                 (self.is_in_own_zone(node), rendezvous_rank(&own_name, &node.to_string()))
             })
@@ -248,7 +248,7 @@
     fn request_backup(&mut self, account: &AccountId) {
         let now = self.now;
         let due = self
-            .links
+            .backup_search
             .requested_at
             .get(account)
             .is_none_or(|asked| now.since(*asked) >= REQUEST_INTERVAL);
@@ -262,7 +262,7 @@
             return;
         };
         let epoch = owned.epoch();
-        self.links.requested_at.insert(account.clone(), now);
+        self.backup_search.requested_at.insert(account.clone(), now);
         let message = Message::ChangeBackup { account: account.clone(), epoch, backup };
         self.send_to_control(&message);
     }
@@ -286,7 +286,7 @@
         }
         let main = self.main.clone();
         for (from, budget, amount) in moves {
-            self.send_rights(&from, &main, &budget, amount);
+            self.transfer_rights(&from, &main, &budget, amount);
         }
     }
 }
--- a/crates/router-core/src/admission.rs
+++ b/crates/router-core/src/admission.rs
@@ -2,7 +2,7 @@
 
 use crate::call::*;
 use crate::effect::Effect;
-use crate::refusal::{Outcome, Refusal, RefusalReason};
+use crate::refusal::{ExecutionOutcome, Refusal, RefusalReason};
 use crate::router::Router;
 use crate::trace::TraceStep;
 use stackpost_table::{ServiceKind, ServiceRow};
@@ -29,10 +29,10 @@
             Ok(admitted) => self.enter(call, admitted),
             Err(mut refusal) => {
                 // An earlier request under the same key may have run at another router.
-                if call.idempotency_key.is_some() && refusal.reason.is_passing() {
-                    refusal.outcome = Outcome::Unknown;
+                if call.idempotency_key.is_some() && refusal.reason.is_transient() {
+                    refusal.outcome = ExecutionOutcome::Unknown;
                 }
-                self.note(call.request, TraceStep::Refused(refusal.clone()));
+                self.trace_step(call.request, TraceStep::Refused(refusal.clone()));
                 self.effects.push(Effect::Refuse { call: id, refusal });
             }
         }
@@ -47,7 +47,7 @@
             let refusal = Refusal::not_run(RefusalReason::NotReady, "no configuration yet");
             return Err(refusal.retry_after(RETRY_SOON));
         }
-        if !self.knows_platform() {
+        if !self.platform_list_ready() {
             let refusal = Refusal::not_run(RefusalReason::NotReady, "no machine list yet");
             return Err(refusal.retry_after(RETRY_SOON));
         }
@@ -117,7 +117,7 @@
         let id = call.id;
         let request = call.request;
         let key = self.key_use(&call, &admitted.tenant, &admitted.home_zone);
-        self.note(
+        self.trace_step(
             request,
             TraceStep::Admitted {
                 tenant: admitted.tenant.clone(),
@@ -147,24 +147,24 @@
             tried: Vec::new(),
             caller_gone: false,
             open: false,
-            sent_before: false,
+            earlier_attempt_sent: false,
             key_granted: false,
             answer: None,
         };
         let keyed = state.is_keyed();
         self.calls.insert(id, state);
         self.call_of_request.insert(request, id);
-        if keyed { self.ask_for_key(id) } else { self.want_rights(id) }
+        if keyed { self.ask_for_key(id) } else { self.request_rights(id) }
     }
 
     /// A key that begins with a zone's name and a colon is kept in that zone, others in the
     /// tenant's home zone.
-    fn key_use(&self, call: &Call, tenant: &TenantName, home: &ZoneName) -> Option<KeyUse> {
+    fn key_use(&self, call: &Call, tenant: &TenantName, home: &ZoneName) -> Option<RequestKey> {
         let key = call.idempotency_key.as_ref()?;
         let named = key.split_once(':').map(|(zone, _)| ZoneName::new(zone));
         let zone = named.filter(|zone| self.directory.has_zone(zone)).unwrap_or(home.clone());
         let digest = Digest::of(&[tenant.as_str().as_bytes(), key.as_bytes()]);
-        Some(KeyUse { digest, zone })
+        Some(RequestKey { digest, zone })
     }
 
     /// The row of the call's service, if it still exists.
@@ -186,12 +186,12 @@
     /// Gives a call its final refusal and frees what it held.
     pub(crate) fn refuse(&mut self, id: CallId, mut refusal: Refusal) {
         if self.calls.get(&id).is_some_and(CallState::may_have_run) {
-            refusal.outcome = Outcome::Unknown;
+            refusal.outcome = ExecutionOutcome::Unknown;
         }
         if self.config.defects.claim_not_run {
-            refusal.outcome = Outcome::NotRun;
+            refusal.outcome = ExecutionOutcome::NotRun;
         }
-        self.note_call(id, TraceStep::Refused(refusal.clone()));
+        self.trace_call_step(id, TraceStep::Refused(refusal.clone()));
         if self.remove_call(id).is_some() {
             self.effects.push(Effect::Refuse { call: id, refusal });
         }
--- a/crates/router-core/src/bills.rs
+++ b/crates/router-core/src/bills.rs
@@ -15,7 +15,7 @@
 
 /// How far the bills of one account have got.
 #[derive(Debug, Default)]
-pub(crate) struct Delivery {
+pub(crate) struct BillDelivery {
     stored: BTreeMap<MachineName, u64>,
     /// Last bill that stands on the backup.
     released: u64,
@@ -31,8 +31,9 @@
             let Some(owned) = self.owned.get(&account) else {
                 continue;
             };
-            let released = self.timers.deliveries.get(&account).map_or(0, |held| held.released);
-            let delivery = self.timers.deliveries.entry(account.clone()).or_default();
+            let released =
+                self.timers.bill_deliveries.get(&account).map_or(0, |held| held.released);
+            let delivery = self.timers.bill_deliveries.entry(account.clone()).or_default();
             let waited = now.since(delivery.sent_at);
             let overdue = waited >= REDELIVER_AFTER;
             let fresh = released > delivery.sent_up_to && waited >= DELIVERY_INTERVAL;
@@ -59,8 +60,8 @@
     }
 
     /// The bills of an account stand on its backup up to this one.
-    pub(crate) fn bills_released(&mut self, account: &AccountId, up_to: u64) {
-        let delivery = self.timers.deliveries.entry(account.clone()).or_default();
+    pub(crate) fn mark_bills_mirrored(&mut self, account: &AccountId, up_to: u64) {
+        let delivery = self.timers.bill_deliveries.entry(account.clone()).or_default();
         delivery.released = up_to.max(delivery.released);
     }
 
@@ -73,7 +74,7 @@
         up_to: u64,
     ) {
         let majority = self.config.control.len() / 2 + 1;
-        let delivery = self.timers.deliveries.entry(account.clone()).or_default();
+        let delivery = self.timers.bill_deliveries.entry(account.clone()).or_default();
         let known = delivery.stored.entry(replica.clone()).or_default();
         *known = up_to.max(*known);
         let mut stored: Vec<u64> = delivery.stored.values().copied().collect();
--- a/crates/router-core/src/call.rs
+++ b/crates/router-core/src/call.rs
@@ -55,7 +55,7 @@
 
 /// A request's idempotency key and who keeps it.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct KeyUse {
+pub(crate) struct RequestKey {
     pub digest: KeyDigest,
     pub zone: ZoneName,
 }
@@ -96,7 +96,7 @@
     pub service: ServiceName,
     pub bound: Tokens,
     pub repeatable: bool,
-    pub key: Option<KeyUse>,
+    pub key: Option<RequestKey>,
     /// The account that pays.
     pub account: AccountId,
     /// Whether `bound` is reserved locally, with no intent recorded yet.
@@ -109,7 +109,7 @@
     /// Whether bytes may flow to the caller.
     pub open: bool,
     /// Whether an earlier attempt, here or under the same key elsewhere, may have run.
-    pub sent_before: bool,
+    pub earlier_attempt_sent: bool,
     /// Whether the keeper has granted the key. Until then an earlier request under the same key
     /// may have run.
     pub key_granted: bool,
@@ -124,7 +124,7 @@
 
     /// Whether whoever takes the account over has to take the request for run, since its intent is
     /// recorded, although nothing may have been sent.
-    pub fn may_be_taken_for_run(&self) -> bool {
+    pub fn counts_as_run(&self) -> bool {
         self.may_have_run() || matches!(self.stage, Stage::Running(_))
     }
 
@@ -136,6 +136,6 @@
             _ => false,
         };
         let unresolved_key = self.is_keyed() && !self.key_granted;
-        now || self.sent_before || unresolved_key
+        now || self.earlier_attempt_sent || unresolved_key
     }
 }
--- a/crates/router-core/src/control_link.rs
+++ b/crates/router-core/src/control_link.rs
@@ -1,6 +1,6 @@
 //! Signs of life to the control replicas.
 
-use crate::bills::Delivery;
+use crate::bills::BillDelivery;
 use crate::router::Router;
 use stackpost_protocol::{Heartbeat, Message};
 use stackpost_types::*;
@@ -13,7 +13,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Timers {
     heartbeat_at: Timestamp,
-    pub deliveries: BTreeMap<AccountId, Delivery>,
+    pub bill_deliveries: BTreeMap<AccountId, BillDelivery>,
 }
 
 impl Timers {
--- a/crates/router-core/src/release.rs
+++ b/crates/router-core/src/deferred.rs
@@ -9,11 +9,11 @@
 
 /// An effect that waits.
 #[derive(Clone, Debug)]
-pub(crate) enum Waiter {
+pub(crate) enum DeferredAction {
     /// A non-repeatable request may be sent.
     Dispatch(CallId, u32),
     /// Bytes of the answer may flow.
-    Open(CallId, u32),
+    StartResponse(CallId, u32),
     /// The answer's end may go out.
     Finish(CallId, Tokens),
     /// Rights may be handed over.
@@ -39,38 +39,43 @@
         }
     }
 
-    /// Makes a change and lets `waiter` go ahead once the change stands on the backup.
-    pub(crate) fn record_then(&mut self, account: &AccountId, record: Record, waiter: Waiter) {
+    /// Makes a change and lets `action` go ahead once the change stands on the backup.
+    pub(crate) fn record_and_defer(
+        &mut self,
+        account: &AccountId,
+        record: Record,
+        action: DeferredAction,
+    ) {
         let sequence = self.record(account, record);
-        self.wait_for(account, sequence, waiter);
+        self.defer(account, sequence, action);
     }
 
-    /// Records a bill; it may be archived, and `waiter` go ahead, once it stands on the backup.
+    /// Records a bill; it may be archived, and `action` go ahead, once it stands on the backup.
     /// Archived earlier, it could come to stand beside the bill of another run of the request.
     pub(crate) fn record_bill(
         &mut self,
         account: &AccountId,
         settle: Record,
-        waiter: Option<Waiter>,
+        action: Option<DeferredAction>,
     ) {
         let sequence = self.record(account, settle);
         let Some(owned) = self.owned.get(account) else { return };
         let up_to = owned.state().last_bill();
-        self.wait_for(account, sequence, Waiter::Bill { account: account.clone(), up_to });
-        if let Some(waiter) = waiter {
-            self.wait_for(account, sequence, waiter);
+        self.defer(account, sequence, DeferredAction::Bill { account: account.clone(), up_to });
+        if let Some(action) = action {
+            self.defer(account, sequence, action);
         }
     }
 
-    pub(crate) fn wait_for(&mut self, account: &AccountId, sequence: u64, waiter: Waiter) {
-        self.waiters.entry(account.clone()).or_default().push_back((sequence, waiter));
+    pub(crate) fn defer(&mut self, account: &AccountId, sequence: u64, action: DeferredAction) {
+        self.deferred_actions.entry(account.clone()).or_default().push_back((sequence, action));
     }
 
     /// Lets everything go ahead whose change stands on the backup.
-    pub(crate) fn release_effects(&mut self) {
+    pub(crate) fn run_deferred_actions(&mut self) {
         loop {
             let mut ready = Vec::new();
-            for (account, waiting) in &mut self.waiters {
+            for (account, waiting) in &mut self.deferred_actions {
                 let Some(owned) = self.owned.get(account) else {
                     continue;
                 };
@@ -80,31 +85,33 @@
                     owned.released()
                 };
                 while waiting.front().is_some_and(|(sequence, _)| *sequence <= released) {
-                    if let Some((_, waiter)) = waiting.pop_front() {
-                        ready.push(waiter);
+                    if let Some((_, action)) = waiting.pop_front() {
+                        ready.push(action);
                     }
                 }
             }
             if ready.is_empty() {
                 return;
             }
-            for waiter in ready {
-                self.go_ahead(waiter);
+            for action in ready {
+                self.run_deferred_action(action);
             }
         }
     }
 
-    fn go_ahead(&mut self, waiter: Waiter) {
-        match waiter {
-            Waiter::Dispatch(call, number) => self.dispatch_now(call, number),
-            Waiter::Open(call, number) => self.open(call, number),
-            Waiter::Finish(call, billed) => self.finish(call, billed),
-            Waiter::Transfer { from, to, budget } => self.hand_over(&from, &to, &budget),
-            Waiter::TransferAck { to, ack } => self.send(to, Message::TransferAck(ack)),
-            Waiter::Return { account, budget } => self.report_return(&account, &budget),
-            Waiter::Bill { account, up_to } => self.bills_released(&account, up_to),
-            Waiter::Reply { to, message } => self.send(to, message),
-            Waiter::Refuse(call, refusal) => self.refuse(call, refusal),
+    fn run_deferred_action(&mut self, action: DeferredAction) {
+        match action {
+            DeferredAction::Dispatch(call, number) => self.dispatch_now(call, number),
+            DeferredAction::StartResponse(call, number) => self.open(call, number),
+            DeferredAction::Finish(call, billed) => self.finish(call, billed),
+            DeferredAction::Transfer { from, to, budget } => {
+                self.send_transfer(&from, &to, &budget)
+            }
+            DeferredAction::TransferAck { to, ack } => self.send(to, Message::TransferAck(ack)),
+            DeferredAction::Return { account, budget } => self.report_return(&account, &budget),
+            DeferredAction::Bill { account, up_to } => self.mark_bills_mirrored(&account, up_to),
+            DeferredAction::Reply { to, message } => self.send(to, message),
+            DeferredAction::Refuse(call, refusal) => self.refuse(call, refusal),
         }
     }
 
@@ -119,12 +126,12 @@
         };
         if current && !call.open {
             call.open = true;
-            self.effects.push(Effect::Open(id));
+            self.effects.push(Effect::StartResponse(id));
         }
     }
 
     /// Sends the newest total from `from` to `to`.
-    pub(crate) fn hand_over(&mut self, from: &AccountId, to: &AccountId, budget: &BudgetName) {
+    pub(crate) fn send_transfer(&mut self, from: &AccountId, to: &AccountId, budget: &BudgetName) {
         let Some(total) = self.total_sent(from, to, budget) else {
             return;
         };
--- a/crates/router-core/src/dispatch.rs
+++ b/crates/router-core/src/dispatch.rs
@@ -1,13 +1,13 @@
 //! Queueing, the choice of a back end, and attempts.
 
 use crate::call::{Attempt, CallId, CallState, Stage, Target};
+use crate::deferred::DeferredAction;
 use crate::effect::{Dispatch, Effect};
 use crate::event::{AttemptOutcome, PlatformEntry, Usage};
 use crate::refusal::{Refusal, RefusalReason};
-use crate::release::Waiter;
 use crate::router::Router;
 use crate::trace::TraceStep;
-use stackpost_balance::{Candidate, Choice, FairQueue, Pushed, Query};
+use stackpost_balance::{Candidate, Choice, FairQueue, PushOutcome, Query};
 use stackpost_ledger::{Intent, Record, StoredAnswer};
 use stackpost_table::{BackEndState, Row, RowKey};
 use stackpost_types::*;
@@ -46,9 +46,9 @@
         }
         let queue = self.queues.entry(service).or_default();
         match queue.push(&tenant, weight, priority, id, limit) {
-            Pushed::Queued => self.note_waiting(id),
-            Pushed::Refused(refused) => self.refuse_queue_full(refused),
-            Pushed::Evicted(evicted) => {
+            PushOutcome::Queued => self.note_waiting(id),
+            PushOutcome::Refused(refused) => self.refuse_queue_full(refused),
+            PushOutcome::Evicted(evicted) => {
                 self.note_waiting(id);
                 self.refuse_queue_full(evicted);
             }
@@ -57,12 +57,12 @@
 
     fn note_waiting(&mut self, id: CallId) {
         let reason = "every back end has as many requests as allowed".to_string();
-        self.note_call(id, TraceStep::Waiting { reason });
+        self.trace_call_step(id, TraceStep::Waiting { reason });
     }
 
     fn refuse_queue_full(&mut self, id: CallId) {
         let refusal = Refusal::not_run(RefusalReason::QueueFull, "the service's queue is full");
-        self.give_up(id, refusal.retry_after(RETRY_AFTER_BUSY));
+        self.withdraw_and_refuse(id, refusal.retry_after(RETRY_AFTER_BUSY));
     }
 
     /// Starts waiting calls as far as back ends are free.
@@ -121,11 +121,11 @@
                 true
             }
             Choice::AllBusy => false,
-            Choice::AllRest(until) => {
+            Choice::AllBackingOff(until) => {
                 let detail =
                     format!("the back ends of service {} have asked for rest", call.service);
                 let refusal = Refusal::not_run(RefusalReason::NoBackEnd, detail);
-                self.give_up(id, refusal.retry_after(until.since(self.now)));
+                self.withdraw_and_refuse(id, refusal.retry_after(until.since(self.now)));
                 true
             }
             Choice::NoneAvailable => {
@@ -135,7 +135,7 @@
                     _ => RefusalReason::RetriesExhausted,
                 };
                 let refusal = Refusal::not_run(reason, detail).retry_after(RETRY_AFTER_FAILURE);
-                self.give_up(id, refusal);
+                self.withdraw_and_refuse(id, refusal);
                 true
             }
         }
@@ -143,7 +143,7 @@
 
     fn start(&mut self, id: CallId, candidates: Vec<Candidate>) {
         let back_end = candidates[0].back_end.clone();
-        self.note_call(id, TraceStep::Chosen { candidates });
+        self.trace_call_step(id, TraceStep::Chosen { candidates });
         let now = self.now;
         let Some(call) = self.calls.get_mut(&id) else {
             return;
@@ -166,16 +166,16 @@
         if let Target::Chat { blocks, .. } = &call.call.target
             && let Some(known) = self.balancer.get_mut(&back_end)
         {
-            known.cache.expect(blocks);
+            known.cache.assume_cached(blocks);
         }
         if let Some(known) = self.balancer.get_mut(&back_end) {
             known.on_dispatch(now);
         }
         if number == 1 {
-            self.retries.earn(self.directory.policy().retry_permille);
+            self.retries.deposit(self.directory.policy().retry_permille);
         }
         let sequence = self.record(&account, Record::Intent { request, intent });
-        self.reservation_recorded(id);
+        self.move_reservation_to_intent(id);
         if repeatable {
             // The intent travels beside the request; no byte of the answer reaches the caller
             // before the backup holds it.
@@ -183,9 +183,9 @@
         } else {
             // Must stand on the backup before anything is sent: whoever takes over has to know
             // that the request may have run.
-            self.wait_for(&account, sequence, Waiter::Dispatch(id, number));
+            self.defer(&account, sequence, DeferredAction::Dispatch(id, number));
         }
-        self.wait_for(&account, sequence, Waiter::Open(id, number));
+        self.defer(&account, sequence, DeferredAction::StartResponse(id, number));
     }
 
     pub(crate) fn dispatch_now(&mut self, id: CallId, number: u32) {
@@ -207,7 +207,7 @@
             return;
         };
         let max_tokens = self.calls.get(&id).and_then(|call| self.generation_limit(call));
-        self.note(request, TraceStep::Dispatched { back_end: back_end.clone(), number });
+        self.trace_step(request, TraceStep::Dispatched { back_end: back_end.clone(), number });
         self.effects.push(Effect::Dispatch(Dispatch {
             call: id,
             request,
@@ -239,15 +239,15 @@
                 self.on_not_sent(id, back_end, reason);
             }
             AttemptOutcome::Rejected { status, answer, rest } => {
-                self.on_rest(id, &back_end, rest);
+                self.on_backoff(id, &back_end, rest);
                 self.on_rejected(id, back_end, status, answer);
             }
-            AttemptOutcome::Broken { reason, counted, delivered } => {
+            AttemptOutcome::Incomplete { reason, counted, delivered } => {
                 self.on_back_end_failure(&back_end);
                 self.on_broken(id, back_end, reason, counted, delivered);
             }
             AttemptOutcome::Answered { reported, counted, answer, rest } => {
-                self.on_rest(id, &back_end, rest);
+                self.on_backoff(id, &back_end, rest);
                 if let Some(known) = self.balancer.get_mut(&back_end) {
                     known.on_success();
                 }
@@ -258,11 +258,11 @@
     }
 
     /// A back end wants no request of this router for a while. Known of one attempt only, the next one would break it.
-    fn on_rest(&mut self, id: CallId, back_end: &BackEndName, rest: Option<Millis>) {
+    fn on_backoff(&mut self, id: CallId, back_end: &BackEndName, rest: Option<Millis>) {
         let now = self.now;
         if let (Some(rest), Some(known)) = (rest, self.balancer.get_mut(back_end)) {
-            known.on_rest(now, rest);
-            self.note_call(id, TraceStep::RestAsked { back_end: back_end.clone(), rest });
+            known.on_backoff(now, rest);
+            self.trace_call_step(id, TraceStep::RestAsked { back_end: back_end.clone(), rest });
         }
     }
 
@@ -278,7 +278,7 @@
         }
         let detail = format!("connect to {back_end}: {reason}");
         let refusal = Refusal::not_run(RefusalReason::RetriesExhausted, detail);
-        self.give_up(id, refusal.retry_after(RETRY_AFTER_FAILURE));
+        self.withdraw_and_refuse(id, refusal.retry_after(RETRY_AFTER_FAILURE));
     }
 
     fn on_rejected(
@@ -309,7 +309,7 @@
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
-        call.sent_before = true;
+        call.earlier_attempt_sent = true;
         let may_repeat = call.repeatable || self.config.defects.retry_after_send;
         let wanted = !call.caller_gone || call.is_keyed();
         if may_repeat && !delivered && wanted && self.may_retry(id) {
@@ -317,18 +317,18 @@
             return;
         }
         let detail = format!("answer of {back_end}: {reason}");
-        self.settle_broken(id, counted, detail);
+        self.settle_incomplete(id, counted, detail);
     }
 
     fn note_failure(&mut self, id: CallId, reason: &str) {
         let number = self.calls.get(&id).map_or(0, |call| call.attempts);
         let reason = reason.to_string();
-        self.note_call(id, TraceStep::AttemptFailed { number, reason });
+        self.trace_call_step(id, TraceStep::AttemptFailed { number, reason });
     }
 
     fn may_retry(&mut self, id: CallId) -> bool {
         let attempts = self.calls.get(&id).map_or(MAX_ATTEMPTS, |call| call.attempts);
-        attempts < MAX_ATTEMPTS && self.retries.try_spend()
+        attempts < MAX_ATTEMPTS && self.retries.try_withdraw()
     }
 
     /// Another attempt, at another back end. The intent keeps the rights reserved.
@@ -341,7 +341,7 @@
 
     /// Refuses a call that has no attempt under way. An intent that was recorded for an earlier
     /// attempt is withdrawn first.
-    pub(crate) fn give_up(&mut self, id: CallId, refusal: Refusal) {
+    pub(crate) fn withdraw_and_refuse(&mut self, id: CallId, refusal: Refusal) {
         let Some(call) = self.calls.get(&id) else {
             return;
         };
@@ -352,8 +352,12 @@
             .is_some_and(|owned| owned.state().intents().contains_key(&request));
         if recorded {
             let budget = call.budget.clone();
-            self.record_then(&account, Record::Release { request }, Waiter::Refuse(id, refusal));
-            self.serve_waiting(&budget);
+            self.record_and_defer(
+                &account,
+                Record::Release { request },
+                DeferredAction::Refuse(id, refusal),
+            );
+            self.reserve_for_waiting(&budget);
         } else {
             self.refuse_and_serve(id, refusal);
         }
@@ -363,7 +367,7 @@
         let budget = self.calls.get(&id).map(|call| call.budget.clone());
         self.refuse(id, refusal);
         if let Some(budget) = budget {
-            self.serve_waiting(&budget);
+            self.reserve_for_waiting(&budget);
         }
     }
 
@@ -377,7 +381,7 @@
         call.caller_gone = true;
         let keep = call.is_keyed() || !call.repeatable;
         let stage = call.stage.clone();
-        self.note_call(id, TraceStep::CallerGone);
+        self.trace_call_step(id, TraceStep::CallerGone);
         match stage {
             Stage::Running(attempt) if attempt.dispatched => {
                 if !keep {
@@ -400,13 +404,13 @@
         let Some(call) = self.remove_call(id) else {
             return;
         };
-        self.stop_waiting(&call.budget, id);
+        self.remove_from_rights_queue(&call.budget, id);
         if let Some(queue) = self.queues.get_mut(&call.service) {
             queue.remove_where(|waiting| *waiting == id);
         }
         self.record(&call.account, Record::Release { request: call.call.request });
         self.effects.push(Effect::Dropped(id));
-        self.rights_freed(&call);
+        self.on_rights_freed(&call);
     }
 
     pub(crate) fn tick_calls(&mut self) {
@@ -425,7 +429,7 @@
             }
             let refusal =
                 Refusal::not_run(RefusalReason::QueueTimeout, "no back end became free in time");
-            self.give_up(id, refusal.retry_after(RETRY_AFTER_BUSY));
+            self.withdraw_and_refuse(id, refusal.retry_after(RETRY_AFTER_BUSY));
         }
         self.tick_settling();
     }
--- a/crates/router-core/src/drain.rs
+++ b/crates/router-core/src/drain.rs
@@ -69,7 +69,7 @@
     fn refuse_what_is_left(&mut self) {
         let calls: Vec<_> = self.calls.keys().copied().collect();
         for id in calls {
-            let ran = self.calls.get(&id).is_some_and(|call| call.may_be_taken_for_run());
+            let ran = self.calls.get(&id).is_some_and(|call| call.counts_as_run());
             let detail = "the deadline of a planned stop has passed";
             let refusal = match ran {
                 true => Refusal::unknown(RefusalReason::Draining, detail),
@@ -100,14 +100,14 @@
         let mut moves = Vec::new();
         for (id, owned) in &self.owned {
             for budget in owned.state().holdings().keys() {
-                let free = self.free_rights(id, budget);
+                let free = self.unreserved_rights(id, budget);
                 if !free.is_zero() {
                     moves.push((id.clone(), budget.clone(), free));
                 }
             }
         }
         for (from, budget, amount) in moves {
-            self.send_rights(&from, &successor, &budget, amount);
+            self.transfer_rights(&from, &successor, &budget, amount);
         }
     }
 }
--- a/crates/router-core/src/effect.rs
+++ b/crates/router-core/src/effect.rs
@@ -46,7 +46,7 @@
         number: u32,
     },
     /// The answer's bytes may flow to the caller, all but its end.
-    Open(CallId),
+    StartResponse(CallId),
     /// The answer's end may go to the caller.
     Finish {
         /// The request.
--- a/crates/router-core/src/event.rs
+++ b/crates/router-core/src/event.rs
@@ -40,7 +40,7 @@
         rest: Option<Millis>,
     },
     /// The request may have run, but its answer is not whole.
-    Broken {
+    Incomplete {
         /// Why.
         reason: String,
         /// Tokens seen so far.
@@ -122,7 +122,7 @@
         changes: Vec<CacheChange>,
     },
     /// An engine's whole cache was read.
-    CacheWhole {
+    CacheSnapshot {
         /// The engine.
         back_end: BackEndName,
         /// Number of the next event.
@@ -133,7 +133,7 @@
     /// The platform's machine list was read.
     Platform(Vec<PlatformEntry>),
     /// A back end was asked what a request of a dead router used.
-    UsageKnown {
+    UsageReceived {
         /// The account that holds the intent.
         account: AccountId,
         /// The request.
--- a/crates/router-core/src/keeper.rs
+++ b/crates/router-core/src/key_store.rs
@@ -1,7 +1,7 @@
 //! Idempotency keys, from the side of the account that keeps them, and the answers kept for them.
 
+use crate::deferred::DeferredAction;
 use crate::keys::slot_of;
-use crate::release::Waiter;
 use crate::router::Router;
 use stackpost_ledger::{KeyDigest, Record};
 use stackpost_protocol::*;
@@ -23,7 +23,7 @@
 impl Router {
     fn retention(&mut self, account: &AccountId) -> &mut Retention {
         let since = self.now;
-        self.key_touched.entry(account.clone()).or_insert_with(|| Retention {
+        self.key_retention.entry(account.clone()).or_insert_with(|| Retention {
             since,
             claims: VecDeque::new(),
             answers: VecDeque::new(),
@@ -39,10 +39,10 @@
         let claims = owned.state().claims().iter();
         let claims = claims.map(|(key, claim)| (now, *key, claim.request)).collect();
         let answers = owned.state().answers().keys().map(|request| (now, *request)).collect();
-        self.key_touched.insert(account.clone(), Retention { since: now, claims, answers });
+        self.key_retention.insert(account.clone(), Retention { since: now, claims, answers });
     }
 
-    pub(crate) fn remember_answer(&mut self, account: &AccountId, request: RequestId) {
+    pub(crate) fn retain_answer(&mut self, account: &AccountId, request: RequestId) {
         let now = self.now;
         self.retention(account).answers.push_back((now, request));
     }
@@ -58,23 +58,25 @@
             return;
         };
         let request = ask.claim.request;
-        let verdict = match owned.state().claim(&ask.key) {
-            Some(held) if held.request == request => ClaimVerdict::Granted,
-            Some(held) if held.fingerprint != ask.claim.fingerprint => ClaimVerdict::OtherContent,
-            Some(held) if ask.replaces != Some(held.request) => ClaimVerdict::HeldBy(held.clone()),
-            None if still_forgotten => ClaimVerdict::Forgotten,
+        let result = match owned.state().claim(&ask.key) {
+            Some(held) if held.request == request => ClaimResult::Granted,
+            Some(held) if held.fingerprint != ask.claim.fingerprint => {
+                ClaimResult::FingerprintMismatch
+            }
+            Some(held) if ask.replaces != Some(held.request) => ClaimResult::HeldBy(held.clone()),
+            None if still_forgotten => ClaimResult::Forgotten,
             _ => {
                 let now = self.now;
                 let (key, claim) = (ask.key, ask.claim);
                 self.record(&account, Record::Claim { key, claim });
                 self.retention(&account).claims.push_back((now, key, request));
-                ClaimVerdict::Granted
+                ClaimResult::Granted
             }
         };
         // Whatever is said must outlive this machine: the answer waits for the backup.
         let sequence = self.owned.get(&account).map_or(0, |owned| owned.sequence());
-        let message = Message::ClaimReply(ClaimReply { request, verdict });
-        self.wait_for(&account, sequence, Waiter::Reply { to: from, message });
+        let message = Message::ClaimReply(ClaimReply { request, result });
+        self.defer(&account, sequence, DeferredAction::Reply { to: from, message });
     }
 
     /// Whether all keys that were lost with the zone's records are past their retention.
@@ -89,43 +91,41 @@
         let Some(owned) = self.owned.get(&fetch.account) else {
             return;
         };
-        let FetchAnswer { account, request, asker } = fetch;
+        let FetchAnswer { account, request, requester } = fetch;
         let state = owned.state();
-        let verdict = if self.call_of_request.contains_key(&request) {
-            FetchVerdict::Running
+        let result = if self.call_of_request.contains_key(&request) {
+            FetchResult::Running
         } else if let Some(answer) = state.answer(&request) {
             if answer.is_unknown() {
-                FetchVerdict::Unknown
+                FetchResult::Unknown
             } else {
-                FetchVerdict::Answer(answer.clone())
+                FetchResult::Answer(answer.clone())
             }
         } else {
             match state.intents().get(&request) {
-                Some(intent) if !intent.repeatable => FetchVerdict::Unknown,
+                Some(intent) if !intent.repeatable => FetchResult::Unknown,
                 Some(_) => {
                     // Its router died while it ran. It was not billed and may run again: the
                     // rights are freed first, so that it is billed only where it runs next.
                     self.record(&account, Record::Release { request });
-                    FetchVerdict::Free
+                    FetchResult::Free
                 }
-                None => FetchVerdict::Free,
+                None => FetchResult::Free,
             }
         };
-        let verdict = self.maybe_cross(&account, verdict);
+        let result = self.maybe_cross(&account, result);
         let sequence = self.owned.get(&account).map_or(0, |owned| owned.sequence());
-        let message = Message::FetchReply(FetchReply { asker, request, verdict });
-        self.wait_for(&account, sequence, Waiter::Reply { to: from, message });
+        let message = Message::FetchReply(FetchReply { requester, request, result });
+        self.defer(&account, sequence, DeferredAction::Reply { to: from, message });
     }
 
-    /// The deliberate fault `cross_answers`.
-    fn maybe_cross(&self, account: &AccountId, verdict: FetchVerdict) -> FetchVerdict {
+    /// The deliberate fault `swap_answers`.
+    fn maybe_cross(&self, account: &AccountId, result: FetchResult) -> FetchResult {
         let newest =
             self.owned.get(account).and_then(|owned| owned.state().answers().values().last());
         match newest {
-            Some(answer) if self.config.defects.cross_answers => {
-                FetchVerdict::Answer(answer.clone())
-            }
-            _ => verdict,
+            Some(answer) if self.config.defects.swap_answers => FetchResult::Answer(answer.clone()),
+            _ => result,
         }
     }
 
@@ -135,7 +135,7 @@
         let keep_answers = Millis(keep.0 + ANSWER_GRACE.0);
         let now = self.now;
         let mut drops = Vec::new();
-        for (account, retention) in &mut self.key_touched {
+        for (account, retention) in &mut self.key_retention {
             let old = |touched: Timestamp, span: Millis| now.since(touched) > span;
             while retention.claims.front().is_some_and(|(at, ..)| old(*at, keep)) {
                 let Some((_, key, request)) = retention.claims.pop_front() else {
--- a/crates/router-core/src/keys.rs
+++ b/crates/router-core/src/keys.rs
@@ -3,12 +3,12 @@
 use crate::call::{CallId, Stage};
 use crate::effect::Effect;
 use crate::refusal::{Refusal, RefusalReason};
-use crate::rights::RETRY_AFTER_CUT;
+use crate::rights::RETRY_AFTER_PARTITION;
 use crate::router::Router;
 use crate::trace::TraceStep;
 use stackpost_ledger::{KeyClaim, KeyDigest};
 use stackpost_protocol::*;
-use stackpost_table::KEY_SLOTS;
+use stackpost_table::KEY_SLOT_COUNT;
 use stackpost_types::*;
 
 /// Time after which an unanswered question is asked again.
@@ -20,7 +20,7 @@
 
 /// The slot of a zone that keeps `key`.
 pub(crate) fn slot_of(key: &KeyDigest) -> usize {
-    (key.to_u64() % KEY_SLOTS as u64) as usize
+    (key.to_u64() % KEY_SLOT_COUNT as u64) as usize
 }
 
 impl Router {
@@ -48,7 +48,7 @@
             .and_then(|(account, _)| self.directory.owner(account))
             .cloned();
         let Some(keeper) = keeper else { return };
-        self.note_call(id, TraceStep::KeyAsked { keeper: keeper.clone() });
+        self.trace_call_step(id, TraceStep::KeyAsked { keeper: keeper.clone() });
         let message = ClaimKey { zone: key.zone, key: key.digest, claim, replaces };
         self.send(keeper, Message::ClaimKey(message));
     }
@@ -63,23 +63,23 @@
         if !matches!(call.stage, Stage::Claiming { .. }) {
             return;
         }
-        match reply.verdict {
-            ClaimVerdict::Granted => {
-                self.note_call(id, TraceStep::KeyGranted);
+        match reply.result {
+            ClaimResult::Granted => {
+                self.trace_call_step(id, TraceStep::KeyGranted);
                 self.take_key(id);
-                self.want_rights(id);
+                self.request_rights(id);
             }
-            ClaimVerdict::HeldBy(claim) => {
+            ClaimResult::HeldBy(claim) => {
                 let (account, request) = (claim.holder, claim.request);
-                self.note_call(id, TraceStep::KeyHeld { request, account: account.clone() });
+                self.trace_call_step(id, TraceStep::KeyHeld { request, account: account.clone() });
                 self.set_stage(id, Stage::Fetching { account, request, asked_at: self.now });
                 self.fetch(id);
             }
-            ClaimVerdict::OtherContent => {
+            ClaimResult::FingerprintMismatch => {
                 let detail = "this Idempotency-Key came with another request before";
                 self.refuse(id, Refusal::not_run(RefusalReason::KeyReused, detail));
             }
-            ClaimVerdict::Forgotten => {
+            ClaimResult::Forgotten => {
                 let detail = "the zone that keeps this key lost its records a short while ago";
                 self.refuse(id, Refusal::unknown(RefusalReason::KeyForgotten, detail));
             }
@@ -90,7 +90,8 @@
     fn take_key(&mut self, id: CallId) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         call.key_granted = true;
-        call.sent_before |= matches!(call.stage, Stage::Claiming { replaces: Some(_), .. });
+        call.earlier_attempt_sent |=
+            matches!(call.stage, Stage::Claiming { replaces: Some(_), .. });
     }
 
     /// Asks whoever answers for the first attempt what became of it.
@@ -99,7 +100,7 @@
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
-        let asker = call.call.request;
+        let requester = call.call.request;
         let Stage::Fetching { account, request, asked_at } = &mut call.stage else {
             return;
         };
@@ -107,7 +108,7 @@
         let (account, request) = (account.clone(), *request);
         match self.directory.owner(&account).cloned() {
             Some(owner) => {
-                self.send(owner, Message::FetchAnswer(FetchAnswer { account, request, asker }));
+                self.send(owner, Message::FetchAnswer(FetchAnswer { account, request, requester }));
             }
             None if self.directory.account(&account).is_some() => {
                 let detail = format!("account {account}, which ran request {request}, is lost");
@@ -118,7 +119,7 @@
     }
 
     pub(crate) fn on_fetch_reply(&mut self, reply: FetchReply) {
-        let Some(id) = self.call_of_request.get(&reply.asker).copied() else {
+        let Some(id) = self.call_of_request.get(&reply.requester).copied() else {
             return;
         };
         let Some(call) = self.calls.get_mut(&id) else {
@@ -128,19 +129,19 @@
             Stage::Fetching { request, .. } if *request == reply.request => {}
             _ => return,
         }
-        match reply.verdict {
-            FetchVerdict::Running => call.stage_since = self.now,
-            FetchVerdict::Answer(answer) => {
-                self.note_call(id, TraceStep::Replayed { request: reply.request });
+        match reply.result {
+            FetchResult::Running => call.stage_since = self.now,
+            FetchResult::Answer(answer) => {
+                self.trace_call_step(id, TraceStep::Replayed { request: reply.request });
                 self.remove_call(id);
                 self.effects.push(Effect::Replay { call: id, answer });
             }
-            FetchVerdict::Free => {
+            FetchResult::Free => {
                 let replaces = Some(reply.request);
                 self.set_stage(id, Stage::Claiming { asked_at: Timestamp(0), replaces });
                 self.ask_for_key(id);
             }
-            FetchVerdict::Unknown => {
+            FetchResult::Unknown => {
                 let detail = format!("request {} under this key may have run", reply.request);
                 self.refuse(id, Refusal::unknown(RefusalReason::AnswerLost, detail));
             }
@@ -173,7 +174,7 @@
         for id in holder_silent {
             let detail = "the machine that works on this key's request does not answer";
             let refusal = Refusal::unknown(RefusalReason::AnswerLost, detail);
-            self.refuse(id, refusal.retry_after(RETRY_AFTER_CUT));
+            self.refuse(id, refusal.retry_after(RETRY_AFTER_PARTITION));
         }
         for id in ask_again {
             self.ask_for_key(id);
@@ -192,6 +193,6 @@
         let detail = format!("zone {} keeps this key and does not answer", key.zone);
         // Whether an earlier request under the key has run, nobody here knows.
         let refusal = Refusal::unknown(RefusalReason::KeyKeeperUnreachable, detail);
-        self.refuse(id, refusal.retry_after(RETRY_AFTER_CUT));
+        self.refuse(id, refusal.retry_after(RETRY_AFTER_PARTITION));
     }
 }
--- a/crates/router-core/src/pulls.rs
+++ b/crates/router-core/src/pulls.rs
@@ -27,7 +27,7 @@
 enum Asked {
     Pending { since: Timestamp },
     Silent,
-    Answered { reserved: Tokens, given: Tokens },
+    Answered { reserved: Tokens, granted: Tokens },
 }
 
 impl RightsState {
@@ -65,7 +65,8 @@
     /// Accounts that may hold rights of a budget, nearest first, then those known to have most.
     fn holders(&self, budget: &BudgetName) -> Vec<AccountId> {
         let issued = self.directory.issue(budget).into_iter().flat_map(|row| row.issued.keys());
-        let hinted = self.rights.elsewhere.get(budget).into_iter().flat_map(|held| held.keys());
+        let hinted =
+            self.rights.remote_holdings.get(budget).into_iter().flat_map(|held| held.keys());
         let mut accounts: Vec<AccountId> = issued
             .chain(hinted)
             .filter(|account| self.directory.owner(account).is_some())
@@ -77,7 +78,7 @@
         accounts.sort_by_cached_key(|account| {
             let far =
                 self.directory.account(account).is_none_or(|row| row.zone != self.config.zone);
-            let known = self.rights.elsewhere.get(budget).and_then(|held| held.get(account));
+            let known = self.rights.remote_holdings.get(budget).and_then(|held| held.get(account));
             (far, std::cmp::Reverse(known.map(|held| held.available)), account.clone())
         });
         accounts
@@ -92,7 +93,7 @@
         let Some(owner) = self.directory.owner(&account).cloned() else {
             return;
         };
-        let demand = self.rights.demand.get(budget).map(policy::DemandRate::per_second);
+        let demand = self.rights.demand.get(budget).map(policy::DemandAverage::per_second);
         let need = self.shortfall(budget);
         let ask = policy::ask(self.directory.policy(), need, demand.unwrap_or_default());
         let since = self.now;
@@ -101,7 +102,7 @@
         }
         let first = self.rights.waiting.get(budget).and_then(|queue| queue.front().copied());
         if let Some(id) = first {
-            self.note_call(id, TraceStep::RightsAsked { account: account.clone(), need });
+            self.trace_call_step(id, TraceStep::RightsAsked { account: account.clone(), need });
         }
         let pull = Pull {
             budget: budget.clone(),
@@ -125,7 +126,7 @@
             .map(|(account, _)| account.clone())
             .collect();
         let may_come_free = round.asked.values().any(|asked| match asked {
-            Asked::Answered { reserved, given } => !reserved.is_zero() || !given.is_zero(),
+            Asked::Answered { reserved, granted } => !reserved.is_zero() || !granted.is_zero(),
             _ => false,
         });
         let own = self.owned.get(&self.main).and_then(|main| main.state().holding(budget));
@@ -159,7 +160,7 @@
                     round.asked.retain(|_, asked| *asked == Asked::Silent);
                 }
             }
-            self.serve_waiting(&budget);
+            self.reserve_for_waiting(&budget);
             self.start_pulls(&budget);
         }
     }
@@ -172,19 +173,19 @@
         if !askable || !receiver_known {
             return;
         }
-        if self.free_rights(&pull.from, &pull.budget) < pull.need {
+        if self.unreserved_rights(&pull.from, &pull.budget) < pull.need {
             self.reclaim_solo(&pull.budget);
         }
-        let free = self.free_rights(&pull.from, &pull.budget);
+        let free = self.unreserved_rights(&pull.from, &pull.budget);
         // Of two routers that lack rights and ask one another, the one with the smaller need goes
         // first; otherwise the last rights would be carried back and forth.
         let own_need = self.first_need(&pull.budget);
         let own_first = own_need.is_some_and(|need| (need, &self.main) < (pull.need, &pull.to));
         let spare = if own_first { free - own_need.unwrap_or_default() } else { free };
-        let ask = policy::Ask { need: pull.need, want: pull.want };
-        let given = policy::give(spare, ask);
-        if !given.is_zero() {
-            self.send_rights(&pull.from, &pull.to, &pull.budget, given);
+        let ask = policy::TransferRequest { need: pull.need, want: pull.want };
+        let granted = policy::transfer_amount(spare, ask);
+        if !granted.is_zero() {
+            self.transfer_rights(&pull.from, &pull.to, &pull.budget, granted);
         }
         let reserved = self
             .owned
@@ -198,7 +199,7 @@
             budget: pull.budget,
             from: pull.from,
             to: pull.to,
-            given,
+            granted,
             reserved,
             others,
         };
@@ -210,13 +211,13 @@
         self.calls.get(first).map(|call| call.bound)
     }
 
-    fn hints(&self, budget: &BudgetName, asker: &AccountId) -> Vec<AccountId> {
-        let Some(held) = self.rights.elsewhere.get(budget) else {
+    fn hints(&self, budget: &BudgetName, requester: &AccountId) -> Vec<AccountId> {
+        let Some(held) = self.rights.remote_holdings.get(budget) else {
             return Vec::new();
         };
         let mut known: Vec<_> = held
             .iter()
-            .filter(|(account, held)| *account != asker && !held.available.is_zero())
+            .filter(|(account, held)| *account != requester && !held.available.is_zero())
             .collect();
         known.sort_by_key(|(_, held)| std::cmp::Reverse(held.available));
         known.into_iter().take(HINTS).map(|(account, _)| account.clone()).collect()
@@ -224,14 +225,14 @@
 
     pub(crate) fn on_pull_reply(&mut self, reply: PullReply) {
         for account in &reply.others {
-            self.note_hint(&reply.budget, account);
+            self.add_holder_hint(&reply.budget, account);
         }
         if let Some(round) = self.rights.rounds.get_mut(&reply.budget) {
-            let answered = Asked::Answered { reserved: reply.reserved, given: reply.given };
+            let answered = Asked::Answered { reserved: reply.reserved, granted: reply.granted };
             round.asked.insert(reply.from, answered);
         }
         // What is given arrives as a transfer of its own, so nobody else is asked before it.
-        if reply.given < self.shortfall(&reply.budget) || reply.given.is_zero() {
+        if reply.granted < self.shortfall(&reply.budget) || reply.granted.is_zero() {
             self.start_pulls(&reply.budget);
         }
     }
--- a/crates/router-core/src/refusal.rs
+++ b/crates/router-core/src/refusal.rs
@@ -7,14 +7,14 @@
 /// Whether a refused request ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Outcome {
+pub enum ExecutionOutcome {
     /// It ran nowhere.
     NotRun,
     /// It may have run.
     Unknown,
 }
 
-impl Outcome {
+impl ExecutionOutcome {
     /// The name used in answers.
     pub fn as_str(self) -> &'static str {
         match self {
@@ -86,7 +86,7 @@
 
     /// Whether it says nothing of the request itself, so that the same request may have been taken
     /// by another router.
-    pub fn is_passing(self) -> bool {
+    pub fn is_transient(self) -> bool {
         matches!(self, Self::NotReady | Self::Draining)
     }
 
@@ -132,7 +132,7 @@
     /// Why.
     pub reason: RefusalReason,
     /// Whether it ran.
-    pub outcome: Outcome,
+    pub outcome: ExecutionOutcome,
     /// When another try makes sense.
     pub retry_after: Option<Millis>,
     /// The particulars, with the peer where one is involved.
@@ -142,12 +142,17 @@
 impl Refusal {
     /// A refusal of a request that ran nowhere.
     pub fn not_run(reason: RefusalReason, detail: impl Into<String>) -> Self {
-        Self { reason, outcome: Outcome::NotRun, retry_after: None, detail: detail.into() }
+        Self { reason, outcome: ExecutionOutcome::NotRun, retry_after: None, detail: detail.into() }
     }
 
     /// A refusal of a request that may have run.
     pub fn unknown(reason: RefusalReason, detail: impl Into<String>) -> Self {
-        Self { reason, outcome: Outcome::Unknown, retry_after: None, detail: detail.into() }
+        Self {
+            reason,
+            outcome: ExecutionOutcome::Unknown,
+            retry_after: None,
+            detail: detail.into(),
+        }
     }
 
     /// Adds when another try makes sense.
--- a/crates/router-core/src/rights.rs
+++ b/crates/router-core/src/rights.rs
@@ -5,15 +5,15 @@
 use crate::refusal::{Refusal, RefusalReason};
 use crate::router::Router;
 use crate::trace::TraceStep;
-use crate::transfers::{HeldElsewhere, Outgoing, Reported};
-use stackpost_ledger::policy::DemandRate;
+use crate::transfers::{OutgoingTransfer, RemoteHolding, ReportedHoldings};
+use stackpost_ledger::policy::DemandAverage;
 use stackpost_types::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// When a caller without enough budget may ask again: reservations of others may come free.
 const RETRY_AFTER_EXHAUSTED: Millis = Millis(5_000);
 /// When a caller may ask again if a second machine or rights are out of reach.
-pub(crate) const RETRY_AFTER_CUT: Millis = Millis(2_000);
+pub(crate) const RETRY_AFTER_PARTITION: Millis = Millis(2_000);
 
 /// Rights that are spoken for but not in any record, and the requests that wait for more.
 #[derive(Debug, Default)]
@@ -21,14 +21,14 @@
     reserved: BTreeMap<(AccountId, BudgetName), Tokens>,
     pub waiting: BTreeMap<BudgetName, VecDeque<CallId>>,
     pub rounds: BTreeMap<BudgetName, PullRound>,
-    pub outgoing: BTreeMap<(AccountId, AccountId, BudgetName), Outgoing>,
-    pub demand: BTreeMap<BudgetName, DemandRate>,
-    pub elsewhere: BTreeMap<BudgetName, BTreeMap<AccountId, HeldElsewhere>>,
-    pub levelled_at: Timestamp,
+    pub outgoing: BTreeMap<(AccountId, AccountId, BudgetName), OutgoingTransfer>,
+    pub demand: BTreeMap<BudgetName, DemandAverage>,
+    pub remote_holdings: BTreeMap<BudgetName, BTreeMap<AccountId, RemoteHolding>>,
+    pub last_rebalanced_at: Timestamp,
     /// When each account was last heard of as a holder.
-    pub reporters: BTreeMap<AccountId, Timestamp>,
+    pub last_report_at: BTreeMap<AccountId, Timestamp>,
     /// What the home accounts were told of this router's rights.
-    pub reported: BTreeMap<NodeId, Reported>,
+    pub reported: BTreeMap<NodeId, ReportedHoldings>,
     /// Budgets of which something was told last time, so that their end is told too.
     pub reported_budgets: BTreeSet<BudgetName>,
 }
@@ -55,13 +55,13 @@
 
 impl Router {
     /// Rights of `budget` in `account` that no request has spoken for.
-    pub(crate) fn free_rights(&self, account: &AccountId, budget: &BudgetName) -> Tokens {
+    pub(crate) fn unreserved_rights(&self, account: &AccountId, budget: &BudgetName) -> Tokens {
         let held = self.owned.get(account).map(|owned| owned.state().available(budget));
         held.unwrap_or_default() - self.rights.reserved_locally(account, budget)
     }
 
     /// Begins the search for rights for a call.
-    pub(crate) fn want_rights(&mut self, id: CallId) {
+    pub(crate) fn request_rights(&mut self, id: CallId) {
         let Some(call) = self.calls.get(&id) else {
             return;
         };
@@ -70,11 +70,11 @@
                 RefusalReason::NoBackup,
                 "a keyed or non-repeatable request needs a second machine, and none answers",
             );
-            self.refuse(id, refusal.retry_after(RETRY_AFTER_CUT));
+            self.refuse(id, refusal.retry_after(RETRY_AFTER_PARTITION));
             return;
         }
         let (budget, bound) = (call.budget.clone(), call.bound);
-        self.rights.demand.entry(budget.clone()).or_default().note(bound);
+        self.rights.demand.entry(budget.clone()).or_default().record(bound);
         if bound > self.directory.budget_limit(&budget) {
             let detail = format!("may cost {bound}, more than the whole budget {budget}");
             let refusal = Refusal::not_run(RefusalReason::BudgetExhausted, detail);
@@ -83,27 +83,27 @@
         }
         self.set_stage(id, Stage::AwaitingRights);
         self.rights.waiting.entry(budget.clone()).or_default().push_back(id);
-        self.serve_waiting(&budget);
+        self.reserve_for_waiting(&budget);
         self.start_pulls(&budget);
     }
 
     /// Reserves for waiting calls in order, as far as rights reach.
-    pub(crate) fn serve_waiting(&mut self, budget: &BudgetName) {
+    pub(crate) fn reserve_for_waiting(&mut self, budget: &BudgetName) {
         let account = self.paying_account();
         while let Some(id) = self.first_waiting(budget) {
             let Some(call) = self.calls.get(&id) else {
-                self.stop_waiting(budget, id);
+                self.remove_from_rights_queue(budget, id);
                 continue;
             };
             let bound = call.bound;
-            if self.free_rights(&account, budget) < bound {
+            if self.unreserved_rights(&account, budget) < bound {
                 self.reclaim_solo(budget);
             }
-            let enough = self.free_rights(&account, budget) >= bound;
+            let enough = self.unreserved_rights(&account, budget) >= bound;
             if !enough && !self.config.defects.skip_reserve {
                 return;
             }
-            self.stop_waiting(budget, id);
+            self.remove_from_rights_queue(budget, id);
             self.reserve(id, account.clone(), bound);
         }
     }
@@ -121,12 +121,12 @@
         call.reserved = true;
         let budget = call.budget.clone();
         self.rights.reserve_local(&account, &budget, bound);
-        self.note_call(id, TraceStep::Reserved { account, bound });
+        self.trace_call_step(id, TraceStep::Reserved { account, bound });
         self.enqueue(id);
     }
 
     /// Takes a call out of the line for rights.
-    pub(crate) fn stop_waiting(&mut self, budget: &BudgetName, id: CallId) {
+    pub(crate) fn remove_from_rights_queue(&mut self, budget: &BudgetName, id: CallId) {
         let Some(queue) = self.rights.waiting.get_mut(budget) else {
             return;
         };
@@ -143,7 +143,7 @@
             return Tokens::ZERO;
         };
         let bound = self.calls.get(first).map(|call| call.bound).unwrap_or_default();
-        bound - self.free_rights(&self.paying_account(), budget)
+        bound - self.unreserved_rights(&self.paying_account(), budget)
     }
 
     /// Refuses the first waiting call: nobody who can be asked has enough.
@@ -156,7 +156,7 @@
             return;
         };
         let bound = call.bound;
-        let free = self.free_rights(&self.paying_account(), budget);
+        let free = self.unreserved_rights(&self.paying_account(), budget);
         let refusal = if unreachable.is_empty() {
             let detail = format!("may cost {bound}; budget {budget} has {free} left here, no more");
             Refusal::not_run(RefusalReason::BudgetExhausted, detail)
@@ -167,14 +167,15 @@
                 "may cost {bound}; {free} of budget {budget} is here; no answer from {}",
                 peers.join(", ")
             );
-            Refusal::not_run(RefusalReason::RightsUnreachable, detail).retry_after(RETRY_AFTER_CUT)
+            Refusal::not_run(RefusalReason::RightsUnreachable, detail)
+                .retry_after(RETRY_AFTER_PARTITION)
         };
-        self.stop_waiting(budget, id);
+        self.remove_from_rights_queue(budget, id);
         self.refuse(id, refusal);
     }
 
     /// Moves a call's reservation into an intent record; the record then holds it.
-    pub(crate) fn reservation_recorded(&mut self, id: CallId) {
+    pub(crate) fn move_reservation_to_intent(&mut self, id: CallId) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
@@ -190,8 +191,8 @@
     }
 
     /// Rights of a budget may have come free.
-    pub(crate) fn rights_freed(&mut self, call: &CallState) {
+    pub(crate) fn on_rights_freed(&mut self, call: &CallState) {
         let budget = call.budget.clone();
-        self.serve_waiting(&budget);
+        self.reserve_for_waiting(&budget);
     }
 }
--- a/crates/router-core/src/router.rs
+++ b/crates/router-core/src/router.rs
@@ -1,10 +1,10 @@
 //! The state machine: its parts, and the entry point.
 
 use crate::call::{CallId, CallState, Stage};
+use crate::deferred::DeferredAction;
 use crate::directory::Directory;
 use crate::effect::Effect;
 use crate::event::Event;
-use crate::release::Waiter;
 use crate::rights::RightsState;
 use crate::trace::{Trace, TraceStep, Traces};
 use serde::{Deserialize, Serialize};
@@ -53,7 +53,7 @@
     /// Stop without waiting for requests in flight.
     pub drain_at_once: bool,
     /// Give a retry the answer of whichever request ended last.
-    pub cross_answers: bool,
+    pub swap_answers: bool,
 }
 
 /// What a router says of itself.
@@ -96,7 +96,7 @@
     pub(crate) mirrors: BTreeMap<AccountId, MirroredAccount>,
     pub(crate) main: AccountId,
     pub(crate) solo: AccountId,
-    pub(crate) waiters: BTreeMap<AccountId, VecDeque<(u64, Waiter)>>,
+    pub(crate) deferred_actions: BTreeMap<AccountId, VecDeque<(u64, DeferredAction)>>,
     pub(crate) calls: BTreeMap<CallId, CallState>,
     pub(crate) call_of_request: BTreeMap<RequestId, CallId>,
     pub(crate) balancer: Balancer,
@@ -106,10 +106,10 @@
     pub(crate) queues: BTreeMap<ServiceName, FairQueue<CallId>>,
     pub(crate) retries: RetryBudget,
     pub(crate) rights: RightsState,
-    pub(crate) links: crate::accounts::BackupSearch,
+    pub(crate) backup_search: crate::accounts::BackupSearch,
     pub(crate) timers: crate::control_link::Timers,
-    pub(crate) key_touched: BTreeMap<AccountId, crate::keeper::Retention>,
-    pub(crate) usage_queries: BTreeMap<(AccountId, RequestId), crate::settlement::UsageQuery>,
+    pub(crate) key_retention: BTreeMap<AccountId, crate::key_store::Retention>,
+    pub(crate) usage_queries: BTreeMap<(AccountId, RequestId), crate::settlement::UsageQueryState>,
     pub(crate) draining: Option<crate::drain::Drain>,
     pub(crate) fenced: bool,
     pub(crate) traces: Traces,
@@ -131,7 +131,7 @@
             mirrors: BTreeMap::new(),
             main,
             solo,
-            waiters: BTreeMap::new(),
+            deferred_actions: BTreeMap::new(),
             calls: BTreeMap::new(),
             call_of_request: BTreeMap::new(),
             balancer: Balancer::default(),
@@ -140,9 +140,9 @@
             queues: BTreeMap::new(),
             retries: RetryBudget::default(),
             rights: RightsState::default(),
-            links: crate::accounts::BackupSearch::default(),
+            backup_search: crate::accounts::BackupSearch::default(),
             timers: crate::control_link::Timers::default(),
-            key_touched: BTreeMap::new(),
+            key_retention: BTreeMap::new(),
             usage_queries: BTreeMap::new(),
             draining: None,
             fenced: false,
@@ -156,13 +156,13 @@
     /// The next life of a router whose account was taken over, in the same process. Unmirrored
     /// accounts were never taken over: nobody else knows what they hold, so the new life goes on
     /// with their rights, requests and bills.
-    pub fn next_life(self, config: RouterConfig, now: Timestamp) -> Self {
+    pub fn next_incarnation(self, config: RouterConfig, now: Timestamp) -> Self {
         let solo_accounts = self.owned.into_iter().filter(|(id, _)| id.kind == AccountKind::Solo);
         let mut router = Self::new(config, now);
         for (id, owned) in solo_accounts {
             let up_to = owned.state().last_bill();
             router.owned.insert(id.clone(), owned);
-            router.bills_released(&id, up_to);
+            router.mark_bills_mirrored(&id, up_to);
         }
         router
     }
@@ -182,12 +182,12 @@
     /// Whether requests are taken: there is a configuration and a backup.
     pub fn is_ready(&self) -> bool {
         let in_service = self.draining.is_none() && !self.fenced;
-        in_service && self.directory.confirmed && self.has_backup() && self.knows_platform()
+        in_service && self.directory.confirmed && self.has_backup() && self.platform_list_ready()
     }
 
     /// Whether the platform's list has been read. Without it work could go to a back end that left
     /// long ago. If the platform does not answer for long, the router does without.
-    pub(crate) fn knows_platform(&self) -> bool {
+    pub(crate) fn platform_list_ready(&self) -> bool {
         let waited = self.now.since(self.started_at);
         !self.config.has_platform || self.platform.is_some() || waited > PLATFORM_TIMEOUT
     }
@@ -276,17 +276,17 @@
             Event::LoadFailed { back_end } => self.on_back_end_failure(&back_end),
             Event::Cache { back_end, first, changes } => {
                 if let Some(known) = self.balancer.get_mut(&back_end) {
-                    known.cache.follow(first, &changes);
+                    known.cache.apply_events(first, &changes);
                 }
             }
-            Event::CacheWhole { back_end, next, blocks } => {
+            Event::CacheSnapshot { back_end, next, blocks } => {
                 if let Some(known) = self.balancer.get_mut(&back_end) {
                     known.cache.replace(next, &blocks);
                 }
             }
             Event::Platform(entries) => self.on_platform(&entries),
-            Event::UsageKnown { account, request, usage } => {
-                self.on_usage_known(&account, &request, usage);
+            Event::UsageReceived { account, request, usage } => {
+                self.on_usage_received(&account, &request, usage);
             }
             Event::Drain => self.on_drain(),
         }
@@ -354,7 +354,7 @@
         self.tick_adopted();
         self.tick_transfers();
         self.tick_pulls();
-        self.tick_levelling();
+        self.tick_rebalancing();
         self.tick_keys();
         self.tick_usage_queries();
         self.tick_bills();
@@ -364,9 +364,9 @@
 
     /// Does what the event has made possible, until nothing more follows.
     fn settle_down(&mut self) {
-        self.release_effects();
+        self.run_deferred_actions();
         self.serve_queues();
-        self.release_effects();
+        self.run_deferred_actions();
         self.run_local_messages();
         self.flush_mirrors();
     }
@@ -376,7 +376,7 @@
         while let Some(message) = self.local.pop_front() {
             let me = self.config.node.clone();
             self.on_router_message(me, message);
-            self.release_effects();
+            self.run_deferred_actions();
         }
     }
 
@@ -399,14 +399,14 @@
         self.effects.push(Effect::Warn(text.into()));
     }
 
-    pub(crate) fn note(&mut self, request: RequestId, step: TraceStep) {
-        self.traces.note(self.now, request, step);
+    pub(crate) fn trace_step(&mut self, request: RequestId, step: TraceStep) {
+        self.traces.trace_step(self.now, request, step);
     }
 
-    pub(crate) fn note_call(&mut self, id: CallId, step: TraceStep) {
+    pub(crate) fn trace_call_step(&mut self, id: CallId, step: TraceStep) {
         if let Some(call) = self.calls.get(&id) {
             let request = call.call.request;
-            self.note(request, step);
+            self.trace_step(request, step);
         }
     }
 
--- a/crates/router-core/src/settlement.rs
+++ b/crates/router-core/src/settlement.rs
@@ -1,10 +1,10 @@
 //! Billing what a request used, once, and letting the answer's end go.
 
 use crate::call::{CallId, CallState, Stage, Target};
+use crate::deferred::DeferredAction;
 use crate::effect::Effect;
 use crate::event::Usage;
 use crate::refusal::{Refusal, RefusalReason};
-use crate::release::Waiter;
 use crate::router::Router;
 use crate::trace::TraceStep;
 use stackpost_ledger::{BillKind, Record, StoredAnswer};
@@ -22,7 +22,7 @@
 
 /// A question to a back end about a request whose router died.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct UsageQuery {
+pub(crate) struct UsageQueryState {
     asked: u32,
     asked_at: Timestamp,
 }
@@ -82,14 +82,14 @@
             return;
         }
         self.set_settling(id);
-        let waiter = Waiter::Finish(id, Tokens::ZERO);
-        self.record_then(&account, Record::Release { request }, waiter);
-        self.serve_waiting_of(id);
+        let action = DeferredAction::Finish(id, Tokens::ZERO);
+        self.record_and_defer(&account, Record::Release { request }, action);
+        self.reserve_for_waiting_of(id);
     }
 
     /// The answer broke off for good. What the caller got is billed; for a request that may not
     /// be repeated the whole bound is, since it may have done all of its work.
-    pub(crate) fn settle_broken(&mut self, id: CallId, counted: Usage, detail: String) {
+    pub(crate) fn settle_incomplete(&mut self, id: CallId, counted: Usage, detail: String) {
         let Some(call) = self.calls.get(&id) else {
             return;
         };
@@ -101,12 +101,12 @@
         let answer = call.is_keyed().then(StoredAnswer::unknown);
         let (tokens, kind, at) = (charge.tokens, charge.kind, self.wall);
         self.set_settling(id);
-        self.note_call(id, TraceStep::Billed { tokens, kind });
+        self.trace_call_step(id, TraceStep::Billed { tokens, kind });
         let refusal = Refusal::unknown(RefusalReason::BackEndFailed, detail);
         let record = Record::Settle { request, tokens, kind, at, answer };
-        self.remember_answer(&account, request);
-        self.record_bill(&account, record, Some(Waiter::Refuse(id, refusal)));
-        self.serve_waiting_of(id);
+        self.retain_answer(&account, request);
+        self.record_bill(&account, record, Some(DeferredAction::Refuse(id, refusal)));
+        self.reserve_for_waiting_of(id);
     }
 
     pub(crate) fn settle_cancelled(&mut self, id: CallId, counted: Usage) {
@@ -124,17 +124,17 @@
         let (account, request) = (call.account.clone(), call.call.request);
         let Charge { tokens, kind } = charge;
         self.set_settling(id);
-        self.note_call(id, TraceStep::Billed { tokens, kind });
+        self.trace_call_step(id, TraceStep::Billed { tokens, kind });
         if answer.is_some() {
-            self.remember_answer(&account, request);
+            self.retain_answer(&account, request);
         }
         let at = self.wall;
         if self.config.defects.bill_twice {
             self.bill_again(&account, request, tokens);
         }
         let record = Record::Settle { request, tokens, kind, at, answer };
-        self.record_bill(&account, record, Some(Waiter::Finish(id, tokens)));
-        self.serve_waiting_of(id);
+        self.record_bill(&account, record, Some(DeferredAction::Finish(id, tokens)));
+        self.reserve_for_waiting_of(id);
     }
 
     /// The deliberate fault `bill_twice`.
@@ -157,15 +157,15 @@
         self.set_stage(id, Stage::Settling { since });
     }
 
-    fn serve_waiting_of(&mut self, id: CallId) {
+    fn reserve_for_waiting_of(&mut self, id: CallId) {
         if let Some(budget) = self.calls.get(&id).map(|call| call.budget.clone()) {
-            self.serve_waiting(&budget);
+            self.reserve_for_waiting(&budget);
         }
     }
 
     /// The bill stands on the backup: the end of the answer may go out.
     pub(crate) fn finish(&mut self, id: CallId, billed: Tokens) {
-        self.note_call(id, TraceStep::Finished);
+        self.trace_call_step(id, TraceStep::Finished);
         let Some(call) = self.remove_call(id) else {
             return;
         };
@@ -200,7 +200,7 @@
             let query = self
                 .usage_queries
                 .entry(key)
-                .or_insert(UsageQuery { asked: 0, asked_at: Timestamp(0) });
+                .or_insert(UsageQueryState { asked: 0, asked_at: Timestamp(0) });
             let due = query.asked == 0 || now.since(query.asked_at) >= USAGE_QUERY_INTERVAL;
             if !due {
                 continue;
@@ -253,7 +253,7 @@
         self.effects.push(Effect::QueryUsage { account, request, back_end, address });
     }
 
-    pub(crate) fn on_usage_known(
+    pub(crate) fn on_usage_received(
         &mut self,
         account: &AccountId,
         request: &RequestId,
@@ -279,10 +279,10 @@
         };
         let answer = intent.key.map(|_| StoredAnswer::unknown());
         if answer.is_some() {
-            self.remember_answer(account, request);
+            self.retain_answer(account, request);
         }
         let (tokens, kind, at) = (charge.tokens, charge.kind, self.wall);
-        self.note(request, TraceStep::Billed { tokens, kind });
+        self.trace_step(request, TraceStep::Billed { tokens, kind });
         self.record_bill(account, Record::Settle { request, tokens, kind, at, answer }, None);
     }
 }
--- a/crates/router-core/src/trace.rs
+++ b/crates/router-core/src/trace.rs
@@ -116,7 +116,7 @@
 }
 
 impl Traces {
-    pub fn note(&mut self, now: Timestamp, request: RequestId, step: TraceStep) {
+    pub fn trace_step(&mut self, now: Timestamp, request: RequestId, step: TraceStep) {
         if !self.by_request.contains_key(&request) {
             self.order.push_back(request);
             self.by_request.insert(request, Trace { request, steps: Vec::new() });
--- a/crates/router-core/src/transfers.rs
+++ b/crates/router-core/src/transfers.rs
@@ -1,6 +1,6 @@
 //! Rights on their way between accounts: transfers, levelling, recalls and the solo slice.
 
-use crate::release::Waiter;
+use crate::deferred::DeferredAction;
 use crate::router::Router;
 use stackpost_ledger::policy::{self, ZoneShare};
 use stackpost_ledger::{Holding, Record};
@@ -22,13 +22,13 @@
 
 /// What a home account was told of one budget.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct ReportedRow {
+pub(crate) struct ReportedHolding {
     available: Tokens,
     demand: Tokens,
     at: Timestamp,
 }
 
-impl ReportedRow {
+impl ReportedHolding {
     /// Whether the home account's knowledge is still good enough.
     fn is_current(&self, available: Tokens, demand: Tokens, now: Timestamp, interval: u64) -> bool {
         let near = |old: Tokens, new: Tokens| {
@@ -42,21 +42,21 @@
 
 /// What a home account was told, and when it heard from this router last.
 #[derive(Debug, Default)]
-pub(crate) struct Reported {
-    rows: BTreeMap<BudgetName, ReportedRow>,
+pub(crate) struct ReportedHoldings {
+    rows: BTreeMap<BudgetName, ReportedHolding>,
     at: Timestamp,
 }
 
 /// A transfer whose receipt is not confirmed.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Outgoing {
+pub(crate) struct OutgoingTransfer {
     pub total: Tokens,
     pub sent_at: Timestamp,
 }
 
 /// What another account was last known to have.
 #[derive(Clone, Debug)]
-pub(crate) struct HeldElsewhere {
+pub(crate) struct RemoteHolding {
     pub zone: Option<ZoneName>,
     pub available: Tokens,
     pub demand: Tokens,
@@ -65,7 +65,7 @@
 impl Router {
     /// Moves `amount` out of an account owned here. The receiver gets it once the change stands
     /// on the giver's backup.
-    pub(crate) fn send_rights(
+    pub(crate) fn transfer_rights(
         &mut self,
         from: &AccountId,
         to: &AccountId,
@@ -75,11 +75,11 @@
         let already = self.total_sent(from, to, budget).unwrap_or_default();
         let total = already + amount;
         let record = Record::Sent { budget: budget.clone(), to: to.clone(), total };
-        let waiter =
-            Waiter::Transfer { from: from.clone(), to: to.clone(), budget: budget.clone() };
-        self.record_then(from, record, waiter);
+        let action =
+            DeferredAction::Transfer { from: from.clone(), to: to.clone(), budget: budget.clone() };
+        self.record_and_defer(from, record, action);
         let key = (from.clone(), to.clone(), budget.clone());
-        self.rights.outgoing.insert(key, Outgoing { total, sent_at: self.now });
+        self.rights.outgoing.insert(key, OutgoingTransfer { total, sent_at: self.now });
     }
 
     pub(crate) fn on_transfer(&mut self, from: NodeId, transfer: Transfer) {
@@ -90,15 +90,15 @@
         let known = owned.state().holding(&budget).map(|holding| holding.received_from(&giver));
         let ack =
             TransferAck { budget: budget.clone(), from: giver.clone(), to: to.clone(), total };
-        let waiter = Waiter::TransferAck { to: from, ack };
+        let action = DeferredAction::TransferAck { to: from, ack };
         if total > known.unwrap_or_default() {
             let record = Record::Received { budget: budget.clone(), from: giver, total };
-            self.record_then(&to, record, waiter);
+            self.record_and_defer(&to, record, action);
         } else {
             let sequence = owned.sequence();
-            self.wait_for(&to, sequence, waiter);
+            self.defer(&to, sequence, action);
         }
-        self.serve_waiting(&budget);
+        self.reserve_for_waiting(&budget);
         self.start_pulls(&budget);
     }
 
@@ -128,7 +128,11 @@
             };
             // The newest total may only be told once it stands on the backup.
             let sequence = owned.sequence();
-            self.wait_for(&from, sequence, Waiter::Transfer { from: from.clone(), to, budget });
+            self.defer(
+                &from,
+                sequence,
+                DeferredAction::Transfer { from: from.clone(), to, budget },
+            );
         }
     }
 
@@ -141,30 +145,32 @@
         for (budget, holding) in owned.state().holdings() {
             for (to, total) in holding.sent() {
                 let key = (account.clone(), to.clone(), budget.clone());
-                self.rights.outgoing.insert(key, Outgoing { total: *total, sent_at: Timestamp(0) });
+                self.rights
+                    .outgoing
+                    .insert(key, OutgoingTransfer { total: *total, sent_at: Timestamp(0) });
             }
         }
     }
 
-    pub(crate) fn note_hint(&mut self, budget: &BudgetName, account: &AccountId) {
+    pub(crate) fn add_holder_hint(&mut self, budget: &BudgetName, account: &AccountId) {
         self.rights
-            .elsewhere
+            .remote_holdings
             .entry(budget.clone())
             .or_default()
             .entry(account.clone())
-            .or_insert(HeldElsewhere { zone: None, available: Tokens(1), demand: Tokens::ZERO });
+            .or_insert(RemoteHolding { zone: None, available: Tokens(1), demand: Tokens::ZERO });
     }
 
     pub(crate) fn on_holdings(&mut self, holdings: Holdings) {
-        self.rights.reporters.insert(holdings.account.clone(), self.now);
+        self.rights.last_report_at.insert(holdings.account.clone(), self.now);
         for row in holdings.rows {
-            let held = HeldElsewhere {
+            let held = RemoteHolding {
                 zone: Some(holdings.zone.clone()),
                 available: row.available,
                 demand: row.demand,
             };
             self.rights
-                .elsewhere
+                .remote_holdings
                 .entry(row.budget)
                 .or_default()
                 .insert(holdings.account.clone(), held);
@@ -189,7 +195,7 @@
             }
         }
         self.give_back_recalled(budget);
-        self.serve_waiting(budget);
+        self.reserve_for_waiting(budget);
     }
 
     fn give_back_recalled(&mut self, budget: &BudgetName) {
@@ -207,18 +213,19 @@
         if given > reported {
             // The last return has not arrived yet: tell it again rather than give more.
             let sequence = self.owned[&account].sequence();
-            let waiter = Waiter::Return { account: account.clone(), budget: budget.clone() };
-            self.wait_for(&account, sequence, waiter);
+            let action =
+                DeferredAction::Return { account: account.clone(), budget: budget.clone() };
+            self.defer(&account, sequence, action);
             return;
         }
-        let free = self.free_rights(&account, budget);
-        let amount = policy::give_back(free, recall, self.directory.zone_count());
+        let free = self.unreserved_rights(&account, budget);
+        let amount = policy::recall_share(free, recall, self.directory.zone_count());
         if amount.is_zero() {
             return;
         }
         let record = Record::Returned { budget: budget.clone(), total: given + amount };
-        let waiter = Waiter::Return { account: account.clone(), budget: budget.clone() };
-        self.record_then(&account, record, waiter);
+        let action = DeferredAction::Return { account: account.clone(), budget: budget.clone() };
+        self.record_and_defer(&account, record, action);
     }
 
     pub(crate) fn report_return(&mut self, account: &AccountId, budget: &BudgetName) {
@@ -236,21 +243,21 @@
         self.send_to_control(&message);
     }
 
-    pub(crate) fn tick_levelling(&mut self) {
+    pub(crate) fn tick_rebalancing(&mut self) {
         let interval = Millis(self.directory.policy().level_interval_ms);
-        let elapsed = self.now.since(self.rights.levelled_at);
+        let elapsed = self.now.since(self.rights.last_rebalanced_at);
         if elapsed < interval || !self.directory.confirmed {
             return;
         }
-        self.rights.levelled_at = self.now;
+        self.rights.last_rebalanced_at = self.now;
         for rate in self.rights.demand.values_mut() {
-            rate.close(elapsed);
+            rate.finish_interval(elapsed);
         }
         let budgets = self.active_budgets();
         self.report_holdings(&budgets);
         for budget in &budgets {
             self.fill_solo(budget);
-            self.level_zones(budget);
+            self.rebalance_zones(budget);
             self.give_back_recalled(budget);
         }
     }
@@ -279,7 +286,7 @@
         let mut by_owner: BTreeMap<NodeId, Vec<HoldingRow>> = BTreeMap::new();
         let ended = self.rights.reported_budgets.difference(budgets).cloned().collect::<Vec<_>>();
         for budget in budgets.iter().chain(&ended) {
-            let available = self.free_rights(&self.main, budget);
+            let available = self.unreserved_rights(&self.main, budget);
             let demand = self.demand_here(budget);
             for owner in self.home_owners(budget) {
                 let reported = self.rights.reported.entry(owner.clone()).or_default();
@@ -287,7 +294,9 @@
                 if known.is_some_and(|known| known.is_current(available, demand, now, interval)) {
                     continue;
                 }
-                reported.rows.insert(budget.clone(), ReportedRow { available, demand, at: now });
+                reported
+                    .rows
+                    .insert(budget.clone(), ReportedHolding { available, demand, at: now });
                 let row = HoldingRow { budget: budget.clone(), available, demand };
                 by_owner.entry(owner).or_default().push(row);
             }
@@ -317,7 +326,7 @@
     }
 
     fn demand_here(&self, budget: &BudgetName) -> Tokens {
-        self.rights.demand.get(budget).map(policy::DemandRate::per_second).unwrap_or_default()
+        self.rights.demand.get(budget).map(policy::DemandAverage::per_second).unwrap_or_default()
     }
 
     /// Owners, other than this router, of accounts to which a budget was issued.
@@ -331,7 +340,7 @@
     /// Takes the unmirrored slice of a budget back, if there is a backup to mirror it to. Both
     /// accounts belong to this router, so the transfer needs no message; the giver records first.
     pub(crate) fn reclaim_solo(&mut self, budget: &BudgetName) {
-        let free = self.free_rights(&self.solo, budget);
+        let free = self.unreserved_rights(&self.solo, budget);
         if free.is_zero() || self.is_solo() || !self.has_backup() {
             return;
         }
@@ -347,18 +356,18 @@
         if self.is_solo() || !self.has_backup() {
             return;
         }
-        let mirrored = self.free_rights(&self.main, budget);
-        let solo = self.free_rights(&self.solo, budget);
+        let mirrored = self.unreserved_rights(&self.main, budget);
+        let solo = self.unreserved_rights(&self.solo, budget);
         let target = policy::solo_target(self.directory.policy(), mirrored + solo);
         let missing = (target - solo).min(mirrored);
         if solo < target.scaled(1, 2) && !missing.is_zero() {
             let (main, solo) = (self.main.clone(), self.solo.clone());
-            self.send_rights(&main, &solo, budget, missing);
+            self.transfer_rights(&main, &solo, budget, missing);
         }
     }
 
     /// Pushes rights to zones that have too few, if this router speaks for its zone.
-    fn level_zones(&mut self, budget: &BudgetName) {
+    fn rebalance_zones(&mut self, budget: &BudgetName) {
         let Some(shares) = self.zone_shares(budget) else {
             return;
         };
@@ -374,11 +383,11 @@
             let Some(account) = shares[zone].1.clone() else {
                 continue;
             };
-            let wanted = policy::level(self.directory.policy(), &list, own, other);
-            let amount = wanted.min(self.free_rights(&self.main, budget));
+            let wanted = policy::rebalance_amount(self.directory.policy(), &list, own, other);
+            let amount = wanted.min(self.unreserved_rights(&self.main, budget));
             if !amount.is_zero() {
                 let main = self.main.clone();
-                self.send_rights(&main, &account, budget, amount);
+                self.transfer_rights(&main, &account, budget, amount);
                 self.expect_arrival(&account, budget, amount);
             }
         }
@@ -387,7 +396,8 @@
     /// Counts rights that were just sent as held by the receiver. Until its own report says so,
     /// they would be sent again and again, also into a cut that nobody has noticed yet.
     fn expect_arrival(&mut self, account: &AccountId, budget: &BudgetName, amount: Tokens) {
-        let held = self.rights.elsewhere.get_mut(budget).and_then(|held| held.get_mut(account));
+        let held =
+            self.rights.remote_holdings.get_mut(budget).and_then(|held| held.get_mut(account));
         if let Some(held) = held {
             held.available += amount;
         }
@@ -421,15 +431,19 @@
             share.available += available;
             share.demand += demand;
         };
-        add(&self.config.zone, self.free_rights(&self.main, budget), self.demand_here(budget));
+        add(
+            &self.config.zone,
+            self.unreserved_rights(&self.main, budget),
+            self.demand_here(budget),
+        );
         // A zone counts as long as its home account is heard. Its other accounts report at other times: if
         // each were dropped for itself, a zone that is being cut off would look empty, and be
         // filled, as soon as its home account is dropped and a small account is not.
         let fresh = |zone: &ZoneName| {
-            let heard = home_of(zone).and_then(|home| self.rights.reporters.get(home));
+            let heard = home_of(zone).and_then(|home| self.rights.last_report_at.get(home));
             heard.is_some_and(|at| self.now.since(*at) <= horizon)
         };
-        for held in self.rights.elsewhere.get(budget)?.values() {
+        for held in self.rights.remote_holdings.get(budget)?.values() {
             if let Some(zone) = held.zone.as_ref().filter(|zone| fresh(zone)) {
                 add(zone, held.available, held.demand);
             }
--- a/crates/router/src/admin.rs
+++ b/crates/router/src/admin.rs
@@ -1,6 +1,6 @@
 //! The operators' and the platform's side of a router: probes, metrics and explanations.
 
-use crate::shell::Shell;
+use crate::server::RouterServer;
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 use stackpost_http::{Answer, Exchange, StatusCode};
@@ -26,43 +26,43 @@
 }
 
 /// Answers one request.
-pub async fn handle(shell: Arc<Shell>, exchange: Exchange) -> Answer {
+pub async fn handle(server: Arc<RouterServer>, exchange: Exchange) -> Answer {
     let query = exchange.uri.query().unwrap_or_default().to_string();
     match exchange.uri.path() {
         "/healthz" => Answer::text(StatusCode::OK, "ok\n"),
-        "/readyz" => ready(&shell),
-        "/metrics" => metrics(&shell),
-        "/v1/status" => Answer::json(StatusCode::OK, &shell.inspect(|router| router.status())),
-        "/v1/holdings" => Answer::json(StatusCode::OK, &holdings(&shell)),
-        "/v1/explain" => explain(&shell, &query),
+        "/readyz" => ready(&server),
+        "/metrics" => metrics(&server),
+        "/v1/status" => Answer::json(StatusCode::OK, &server.inspect(|router| router.status())),
+        "/v1/holdings" => Answer::json(StatusCode::OK, &holdings(&server)),
+        "/v1/explain" => explain(&server, &query),
         "/v1/decisions" => {
-            let count = parameter(&query, "count").and_then(|text| text.parse().ok());
+            let count = query_parameter(&query, "count").and_then(|text| text.parse().ok());
             let traces =
-                shell.inspect(|router| router.newest_traces(count.unwrap_or(DEFAULT_COUNT)));
+                server.inspect(|router| router.newest_traces(count.unwrap_or(DEFAULT_COUNT)));
             Answer::json(StatusCode::OK, &traces)
         }
         path => Answer::json(StatusCode::NOT_FOUND, &json!({ "error": format!("no {path}") })),
     }
 }
 
-fn ready(shell: &Shell) -> Answer {
-    if shell.inspect(|router| router.is_ready()) {
+fn ready(server: &RouterServer) -> Answer {
+    if server.inspect(|router| router.is_ready()) {
         return Answer::text(StatusCode::OK, "ready\n");
     }
-    let why = if shell.is_draining() { "draining" } else { "no configuration or no backup yet" };
+    let why = if server.is_draining() { "draining" } else { "no configuration or no backup yet" };
     Answer::text(StatusCode::SERVICE_UNAVAILABLE, format!("not ready: {why}\n"))
 }
 
-fn metrics(shell: &Shell) -> Answer {
-    let status = shell.inspect(|router| router.status());
-    match shell.metrics().render(&status) {
+fn metrics(server: &RouterServer) -> Answer {
+    let status = server.inspect(|router| router.status());
+    match server.metrics().render(&status) {
         Ok(text) => Answer::text(StatusCode::OK, text),
         Err(error) => Answer::text(StatusCode::INTERNAL_SERVER_ERROR, error),
     }
 }
 
-fn holdings(shell: &Shell) -> Vec<HoldingView> {
-    shell.inspect(|router| {
+fn holdings(server: &RouterServer) -> Vec<HoldingView> {
+    server.inspect(|router| {
         let of_account = |account: &stackpost_ledger::OwnedAccount| -> Vec<HoldingView> {
             let holdings = account.state().holdings().iter();
             holdings
@@ -79,23 +79,23 @@
     })
 }
 
-fn explain(shell: &Shell, query: &str) -> Answer {
-    let Some(request) = parameter(query, "request").and_then(RequestId::parse) else {
+fn explain(server: &RouterServer, query: &str) -> Answer {
+    let Some(request) = query_parameter(query, "request").and_then(RequestId::parse) else {
         let error = json!({ "error": "`request`: 32 hexadecimal digits, as in x-request-id" });
         return Answer::json(StatusCode::BAD_REQUEST, &error);
     };
-    match shell.inspect(|router| router.trace(&request).cloned()) {
+    match server.inspect(|router| router.trace(&request).cloned()) {
         Some(trace) => Answer::json(StatusCode::OK, &trace),
         None => {
             let error =
-                json!({ "error": format!("{} knows nothing of {request}", shell.machine()) });
+                json!({ "error": format!("{} knows nothing of {request}", server.machine()) });
             Answer::json(StatusCode::NOT_FOUND, &error)
         }
     }
 }
 
 /// The value of a query parameter.
-pub fn parameter<'a>(query: &'a str, name: &str) -> Option<&'a str> {
+pub fn query_parameter<'a>(query: &'a str, name: &str) -> Option<&'a str> {
     let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     pairs.into_iter().find(|(key, _)| *key == name).map(|(_, value)| value)
 }
--- a/crates/router/src/api.rs
+++ b/crates/router/src/api.rs
@@ -1,9 +1,9 @@
 //! The callers' side: one handler for every path.
 
 use crate::chat::ChatRequest;
-use crate::conductor::{Conductor, Work};
 use crate::envelope::RequestError;
-use crate::shell::Shell;
+use crate::request_task::{PayloadSource, RequestTask};
+use crate::server::RouterServer;
 use serde_json::json;
 use stackpost_http::{
     Answer, BodyAborted, BodyError, Bytes, Exchange, HeaderMap, Method, RequestStream, StatusCode,
@@ -27,7 +27,7 @@
 /// What a caller sent, ready for the state machine.
 struct Incoming {
     target: Target,
-    work: Work,
+    payload_source: PayloadSource,
     stream: bool,
     priority: i32,
     fingerprint: Digest,
@@ -45,21 +45,21 @@
 }
 
 /// Answers one request.
-pub async fn handle(shell: Arc<Shell>, exchange: Exchange) -> Answer {
+pub async fn handle(server: Arc<RouterServer>, exchange: Exchange) -> Answer {
     let arrived_at = Instant::now();
     let request = RequestId(uuid::Uuid::new_v4().as_u128());
     if exchange.uri.path() == MODELS_PATH {
-        return list_models(&shell, &exchange, request);
+        return list_models(&server, &exchange, request);
     }
-    match serve(shell, exchange, request, arrived_at).await {
+    match serve(server, exchange, request, arrived_at).await {
         Ok(answer) => answer,
         Err(error) => error.into_answer(request),
     }
 }
 
-fn list_models(shell: &Shell, exchange: &Exchange, request: RequestId) -> Answer {
+fn list_models(server: &RouterServer, exchange: &Exchange, request: RequestId) -> Answer {
     let known = bearer_key(&exchange.headers)
-        .is_some_and(|hash| shell.inspect(|router| router.knows_key(&hash)));
+        .is_some_and(|hash| server.inspect(|router| router.knows_key(&hash)));
     if !known {
         let error = RequestError {
             status: StatusCode::UNAUTHORIZED,
@@ -69,7 +69,7 @@
         };
         return error.into_answer(request);
     }
-    let models: Vec<_> = shell
+    let models: Vec<_> = server
         .inspect(|router| router.models())
         .into_iter()
         .map(|model| json!({"id": model, "object": "model", "created": 0, "owned_by": "stackpost"}))
@@ -78,7 +78,7 @@
 }
 
 async fn serve(
-    shell: Arc<Shell>,
+    server: Arc<RouterServer>,
     exchange: Exchange,
     request: RequestId,
     arrived_at: Instant,
@@ -88,27 +88,27 @@
     let idempotency_key = idempotency_key(&headers)?;
     let asked_once = header_text(&headers, "x-stackpost-repeatable") == Some("false");
     let incoming = if uri.path() == CHAT_PATH {
-        read_chat(&shell, &method, body).await?
+        read_chat(&server, &method, body).await?
     } else {
         let path = uri.path_and_query().map_or("/", |path| path.as_str()).to_string();
-        read_plain(&shell, method, path, headers, body, idempotency_key.is_some()).await?
+        read_plain(&server, method, path, headers, body, idempotency_key.is_some()).await?
     };
     let (sender, signals) = mpsc::unbounded_channel();
     let (reply, answer) = oneshot::channel();
-    let call = shell.register(sender);
-    let conductor = Conductor {
-        shell: shell.clone(),
+    let call = server.register(sender);
+    let request_task = RequestTask {
+        server: server.clone(),
         call,
         request,
-        work: incoming.work,
+        payload_source: incoming.payload_source,
         stream: incoming.stream,
         watch,
         signals,
         reply,
         arrived_at,
     };
-    shell.runtime().spawn(conductor.run());
-    shell.handle(Event::Call(Box::new(Call {
+    server.runtime().spawn(request_task.run());
+    server.handle(Event::Call(Box::new(Call {
         id: call,
         request,
         key_hash,
@@ -167,7 +167,7 @@
 }
 
 async fn read_chat(
-    shell: &Shell,
+    server: &RouterServer,
     method: &Method,
     mut body: RequestStream,
 ) -> Result<Incoming, RequestError> {
@@ -179,8 +179,8 @@
             message: format!("{CHAT_PATH} takes POST, not {method}"),
         });
     }
-    let limit = shell.options().max_body_bytes;
-    let timeout = Duration::from_millis(shell.options().body_timeout_ms);
+    let limit = server.options().max_body_bytes;
+    let timeout = Duration::from_millis(server.options().body_timeout_ms);
     let bytes = tokio::time::timeout(timeout, body.read_all(limit))
         .await
         .map_err(|_| body_timeout(timeout))?
@@ -191,22 +191,22 @@
         stream: chat.stream,
         priority: chat.priority,
         fingerprint: Digest::of(&[CHAT_PATH.as_bytes(), &bytes]),
-        work: Work::Chat(Arc::new(chat)),
+        payload_source: PayloadSource::Chat(Arc::new(chat)),
         single_use: false,
         feed: None,
     })
 }
 
 async fn read_plain(
-    shell: &Shell,
+    server: &RouterServer,
     method: Method,
     path: String,
     headers: HeaderMap,
     mut body: RequestStream,
     keyed: bool,
 ) -> Result<Incoming, RequestError> {
-    let limit = shell.options().max_body_bytes;
-    let timeout = Duration::from_millis(shell.options().body_timeout_ms);
+    let limit = server.options().max_body_bytes;
+    let timeout = Duration::from_millis(server.options().body_timeout_ms);
     // A keyed request is compared by its content, so its body has to be here whole.
     let held_limit = if keyed { limit } else { HELD_BODY_BYTES.min(limit) };
     let mut first = Vec::new();
@@ -236,15 +236,24 @@
     let mut fingerprint_parts: Vec<&[u8]> = vec![method.as_str().as_bytes(), path.as_bytes()];
     fingerprint_parts.extend(first.iter().map(|piece| piece.as_ref()));
     let fingerprint = Digest::of(&fingerprint_parts);
-    let (work, feed) = if whole {
+    let (payload_source, feed) = if whole {
         let bytes = Bytes::from(first.concat());
-        (Work::Plain { method, path, headers, whole: Some(bytes), streamed: None }, None)
+        (PayloadSource::Plain { method, path, headers, whole: Some(bytes), streamed: None }, None)
     } else {
         let (pieces, streamed) = mpsc::channel(BODY_PIECES_AHEAD);
-        let work = Work::Plain { method, path, headers, whole: None, streamed: Some(streamed) };
-        (work, Some(Feed { body, first, pieces, limit }))
+        let payload_source =
+            PayloadSource::Plain { method, path, headers, whole: None, streamed: Some(streamed) };
+        (payload_source, Some(Feed { body, first, pieces, limit }))
     };
-    Ok(Incoming { target, work, stream: false, priority: 0, fingerprint, single_use: !whole, feed })
+    Ok(Incoming {
+        target,
+        payload_source,
+        stream: false,
+        priority: 0,
+        fingerprint,
+        single_use: !whole,
+        feed,
+    })
 }
 
 fn body_timeout(timeout: Duration) -> RequestError {
@@ -266,7 +275,7 @@
         },
         BodyError::Incomplete(reason) => {
             let message = format!("the body ended before its length was reached: {reason}");
-            RequestError::bad("incomplete_body", None, message)
+            RequestError::bad_request("incomplete_body", None, message)
         }
     }
 }
@@ -289,7 +298,7 @@
     if text.is_empty() || text.len() > MAX_KEY_BYTES {
         let message =
             format!("Idempotency-Key: allowed: 1 to {MAX_KEY_BYTES} printable characters");
-        return Err(RequestError::bad("invalid_key", Some("Idempotency-Key"), message));
+        return Err(RequestError::bad_request("invalid_key", Some("Idempotency-Key"), message));
     }
     Ok(Some(text.to_string()))
 }
--- a/crates/router/src/app.rs
+++ b/crates/router/src/app.rs
@@ -1,7 +1,7 @@
 //! Start and planned stop of the process.
 
 use crate::metrics::Metrics;
-use crate::shell::Shell;
+use crate::server::RouterServer;
 use crate::{admin, api, poll};
 use clap::{Arg, ArgAction, ArgMatches, Command};
 use stackpost_http::{ServerOptions, serve};
@@ -105,44 +105,44 @@
     let metrics =
         Metrics::new().map_err(|error| PeerError::new(Step::Settings, "metrics", error))?;
     let addresses = entry.router.clone().expect("checked when the settings were read");
-    let shell = Shell::new(&settings, entry, metrics);
-    listen(&shell, &addresses, settings.router.threads).await?;
+    let server = RouterServer::new(&settings, entry, metrics);
+    listen(&server, &addresses, settings.router.threads).await?;
     if let Some(platform) = settings.platform {
-        tokio::spawn(poll::watch_platform(shell.clone(), platform));
+        tokio::spawn(poll::watch_platform(server.clone(), platform));
     }
-    tokio::spawn(poll::watch_back_ends(shell.clone()));
-    tokio::spawn(tick(shell.clone()));
+    tokio::spawn(poll::watch_back_ends(server.clone()));
+    tokio::spawn(tick(server.clone()));
     log::info!(zone = entry.zone.to_string(), address = addresses.api.to_string(); "listening");
-    wait_for_stop(&shell).await
+    wait_for_stop(&server).await
 }
 
 async fn listen(
-    shell: &Arc<Shell>,
+    server: &Arc<RouterServer>,
     addresses: &RouterEntry,
     threads: usize,
 ) -> Result<(), PeerError> {
-    let receiver = shell.clone();
-    stackpost_transport::listen(addresses.peer, move |parcel| receiver.receive(parcel)).await?;
-    let operators = shell.clone();
+    let receiver = server.clone();
+    stackpost_transport::listen(addresses.peer, move |batch| receiver.receive(batch)).await?;
+    let operators = server.clone();
     let options = ServerOptions { address: addresses.admin, threads: ADMIN_THREADS };
     serve(options, move |exchange| admin::handle(operators.clone(), exchange))?;
-    let callers = shell.clone();
+    let callers = server.clone();
     let options = ServerOptions { address: addresses.api, threads };
     serve(options, move |exchange| api::handle(callers.clone(), exchange))
 }
 
-async fn tick(shell: Arc<Shell>) {
+async fn tick(server: Arc<RouterServer>) {
     let mut interval = tokio::time::interval(TICK);
     interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         interval.tick().await;
-        shell.handle(Event::Tick);
+        server.handle(Event::Tick);
     }
 }
 
 /// SIGTERM and SIGINT begin a planned stop: readiness goes down first, then everything in flight
 /// is finished. The server's own stop would cut streams after 30 s, so it is never used.
-async fn wait_for_stop(shell: &Arc<Shell>) -> Result<(), PeerError> {
+async fn wait_for_stop(server: &Arc<RouterServer>) -> Result<(), PeerError> {
     let failed = |error: std::io::Error| PeerError::new(Step::Listen, "signals", error);
     let mut terminate = signal(SignalKind::terminate()).map_err(failed)?;
     let mut interrupt = signal(SignalKind::interrupt()).map_err(failed)?;
@@ -151,9 +151,9 @@
         _ = interrupt.recv() => {}
     }
     log::info!("stops: finishes what is in flight");
-    shell.drain();
-    shell.drained().await;
-    while shell.open_calls() > 0 {
+    server.drain();
+    server.drained().await;
+    while server.open_calls() > 0 {
         tokio::time::sleep(TICK).await;
     }
     tokio::time::sleep(LAST_BYTES).await;
--- a/crates/router/src/attempt.rs
+++ b/crates/router/src/attempt.rs
@@ -1,7 +1,7 @@
 //! One attempt at one back end.
 
 use crate::chat::{AnswerPart, ChatRequest};
-use crate::sse::{EventSplitter, data_of};
+use crate::sse::{EventSplitter, event_data};
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 use hyper::http::Request;
@@ -46,13 +46,13 @@
         headers: HeaderMap,
     },
     /// A piece that may go out as soon as bytes may flow.
-    Piece(Bytes),
-    /// The attempt is over; `held` is the end of the answer, which goes out after the bill.
+    Chunk(Bytes),
+    /// The attempt is over; `held_back` is the end of the answer, which goes out after the bill.
     Ended {
         /// How it ended.
         outcome: AttemptOutcome,
         /// The held-back end.
-        held: Vec<Bytes>,
+        held_back: Vec<Bytes>,
     },
 }
 
@@ -113,18 +113,18 @@
             run_plain(&client, request, &mut reader).await
         }
     };
-    let (outcome, held) = match outcome {
-        Ok(Ended { outcome, held }) => (outcome, held),
+    let (outcome, held_back) = match outcome {
+        Ok(Ended { outcome, held_back }) => (outcome, held_back),
         Err(outcome) => (outcome, Vec::new()),
     };
     // The conductor may have gone; then nobody needs the outcome.
-    let _ = reader.events.send(AttemptEvent::Ended { outcome, held }).await;
+    let _ = reader.events.send(AttemptEvent::Ended { outcome, held_back }).await;
 }
 
 /// A whole answer and its held-back end.
 struct Ended {
     outcome: AttemptOutcome,
-    held: Vec<Bytes>,
+    held_back: Vec<Bytes>,
 }
 
 /// Reads an answer piece by piece.
@@ -139,7 +139,7 @@
 impl Reader {
     /// A failure in the middle. Whether bytes reached the caller is for the conductor to say.
     fn broken(&self, reason: impl ToString) -> AttemptOutcome {
-        AttemptOutcome::Broken {
+        AttemptOutcome::Incomplete {
             reason: reason.to_string(),
             counted: self.counted,
             delivered: self.pieces_sent > 0,
@@ -149,7 +149,7 @@
     async fn pass_on(&mut self, piece: Bytes) {
         self.keep_for_retry(&piece);
         self.pieces_sent += 1;
-        let _ = self.events.send(AttemptEvent::Piece(piece)).await;
+        let _ = self.events.send(AttemptEvent::Chunk(piece)).await;
     }
 
     fn keep_for_retry(&mut self, piece: &[u8]) {
@@ -255,7 +255,7 @@
         return None;
     }
     let value = headers.get(header::RETRY_AFTER)?;
-    let rest = value.to_str().ok().and_then(Millis::parse_rest);
+    let rest = value.to_str().ok().and_then(Millis::parse_retry_after);
     if rest.is_none() {
         log::info!(step = "answer"; "a back end asks for a rest that can't be read");
     }
@@ -302,25 +302,25 @@
     let mut splitter = EventSplitter::default();
     let mut answer_id: Option<String> = None;
     let mut reported = None;
-    let mut held = Vec::new();
+    let mut held_back = Vec::new();
     let mut ending = false;
     loop {
         let Some(bytes) = reader.next(body).await.map_err(|reason| reader.broken(reason))? else {
             return Err(reader.broken("the stream ended without its end mark"));
         };
         for event in splitter.push(&bytes) {
-            let Some(data) = data_of(&event) else {
+            let Some(data) = event_data(&event) else {
                 reader.pass_on(event).await;
                 continue;
             };
             if data == END_MARK {
                 reader.keep_for_retry(&event);
-                held.push(event);
+                held_back.push(event);
                 let answer = reader.kept_answer(StatusCode::OK, content_type);
                 let counted = reader.counted;
                 return Ok(Ended {
                     outcome: AttemptOutcome::Answered { reported, counted, answer, rest: None },
-                    held,
+                    held_back,
                 });
             }
             let part: AnswerPart = serde_json::from_str(&data)
@@ -336,7 +336,7 @@
             }
             if ending {
                 reader.keep_for_retry(&event);
-                held.push(event);
+                held_back.push(event);
             } else {
                 reader.pass_on(event).await;
             }
@@ -386,7 +386,7 @@
     let reported = part.usage.map(Usage::from);
     let counted = reader.counted;
     let outcome = AttemptOutcome::Answered { reported, counted, answer, rest: None };
-    Ok(Ended { outcome, held: vec![bytes] })
+    Ok(Ended { outcome, held_back: vec![bytes] })
 }
 
 fn plain_request(
@@ -405,7 +405,7 @@
         .uri(format!("http://{}{}", dispatch.address, path))
         .body(body)
         .map_err(|error| error.to_string())?;
-    *request.headers_mut() = without_hop_by_hop(headers);
+    *request.headers_mut() = strip_hop_by_hop_headers(headers);
     request.headers_mut().remove(header::HOST);
     request.headers_mut().remove(header::AUTHORIZATION);
     if let Ok(id) = HeaderValue::from_str(&dispatch.request.to_string()) {
@@ -425,7 +425,7 @@
     let status = answer.status();
     let content_type = content_type_of(answer.headers());
     let rest = asked_rest(status, answer.headers());
-    reader.head(status, without_hop_by_hop(answer.headers().clone())).await;
+    reader.head(status, strip_hop_by_hop_headers(answer.headers().clone())).await;
     let mut body = answer.into_body();
     let mut last: Option<Bytes> = None;
     while let Some(piece) = reader.next(&mut body).await.map_err(|reason| reader.broken(reason))? {
@@ -433,14 +433,14 @@
             reader.pass_on(earlier).await;
         }
     }
-    let held: Vec<Bytes> = last.into_iter().collect();
-    for piece in &held {
+    let held_back: Vec<Bytes> = last.into_iter().collect();
+    for piece in &held_back {
         reader.keep_for_retry(piece);
     }
     let answer = reader.kept_answer(status, content_type);
     let counted = reader.counted;
     let outcome = AttemptOutcome::Answered { reported: None, counted, answer, rest };
-    Ok(Ended { outcome, held })
+    Ok(Ended { outcome, held_back })
 }
 
 fn content_type_of(headers: &HeaderMap) -> String {
@@ -449,7 +449,7 @@
 }
 
 /// Removes the headers that concern one connection only, those named by `Connection` included.
-pub fn without_hop_by_hop(mut headers: HeaderMap) -> HeaderMap {
+pub fn strip_hop_by_hop_headers(mut headers: HeaderMap) -> HeaderMap {
     let named: Vec<String> = headers
         .get_all(header::CONNECTION)
         .iter()
--- a/crates/router/src/chat.rs
+++ b/crates/router/src/chat.rs
@@ -33,10 +33,18 @@
     /// Reads a request body.
     pub fn parse(bytes: &[u8]) -> Result<Self, RequestError> {
         let value: Value = serde_json::from_slice(bytes).map_err(|error| {
-            RequestError::bad("malformed_json", None, format!("the body is not JSON: {error}"))
+            RequestError::bad_request(
+                "malformed_json",
+                None,
+                format!("the body is not JSON: {error}"),
+            )
         })?;
         let Value::Object(body) = value else {
-            return Err(RequestError::bad("malformed_json", None, "the body is not an object"));
+            return Err(RequestError::bad_request(
+                "malformed_json",
+                None,
+                "the body is not an object",
+            ));
         };
         let model = match body.get("model") {
             Some(Value::String(name)) if !name.is_empty() => ModelName::new(name),
@@ -95,7 +103,7 @@
 
 fn wrong(field: &str, allowed: &str) -> RequestError {
     let message = format!("field `{field}`: allowed: {allowed}");
-    RequestError::bad("invalid_field", Some(field), message)
+    RequestError::bad_request("invalid_field", Some(field), message)
 }
 
 fn flag(body: &Map<String, Value>, field: &str) -> Result<bool, RequestError> {
--- a/crates/router/src/envelope.rs
+++ b/crates/router/src/envelope.rs
@@ -2,7 +2,7 @@
 
 use serde::Serialize;
 use stackpost_http::{Answer, StatusCode};
-use stackpost_router_core::{Outcome, Refusal, RefusalReason};
+use stackpost_router_core::{ExecutionOutcome, Refusal, RefusalReason};
 use stackpost_types::RequestId;
 
 /// Body of an error answer.
@@ -47,7 +47,11 @@
 
 impl RequestError {
     /// A request that can't be understood.
-    pub fn bad(code: &'static str, param: Option<&str>, message: impl Into<String>) -> Self {
+    pub fn bad_request(
+        code: &'static str,
+        param: Option<&str>,
+        message: impl Into<String>,
+    ) -> Self {
         let param = param.map(str::to_string);
         Self { status: StatusCode::BAD_REQUEST, code, param, message: message.into() }
     }
@@ -60,7 +64,7 @@
                 kind: "invalid_request_error",
                 param: self.param,
                 code: self.code.to_string(),
-                outcome: Outcome::NotRun.as_str(),
+                outcome: ExecutionOutcome::NotRun.as_str(),
                 request_id: request.to_string(),
                 retry_after_ms: None,
             },
--- a/crates/router/src/metrics.rs
+++ b/crates/router/src/metrics.rs
@@ -16,7 +16,7 @@
     refused: Counter<u64>,
     billed: Counter<u64>,
     duration: Histogram<f64>,
-    first_piece: Histogram<f64>,
+    first_chunk: Histogram<f64>,
     in_flight: Gauge<u64>,
     queued: Gauge<u64>,
     version: Gauge<u64>,
@@ -37,7 +37,7 @@
                 .f64_histogram("stackpost_request_duration_seconds")
                 .with_boundaries(BOUNDARIES.to_vec())
                 .build(),
-            first_piece: meter
+            first_chunk: meter
                 .f64_histogram("stackpost_first_token_seconds")
                 .with_boundaries(BOUNDARIES.to_vec())
                 .build(),
@@ -67,8 +67,8 @@
     }
 
     /// The first piece of an answer came from a back end.
-    pub fn first_piece(&self, after: Duration) {
-        self.first_piece.record(after.as_secs_f64(), &[]);
+    pub fn first_chunk(&self, after: Duration) {
+        self.first_chunk.record(after.as_secs_f64(), &[]);
     }
 
     /// All metrics as text, with the gauges brought up to date.
--- a/crates/router/src/poll.rs
+++ b/crates/router/src/poll.rs
@@ -1,6 +1,6 @@
 //! Watching back ends and the platform's machine list.
 
-use crate::shell::Shell;
+use crate::server::RouterServer;
 use serde::Deserialize;
 use stackpost_balance::{BlockHash, CacheChange, LoadReport};
 use stackpost_http::{Bytes, Client, StatusCode};
@@ -19,7 +19,7 @@
 const PLATFORM_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// The process that usage answers go back to.
-static SHELL: OnceLock<Weak<Shell>> = OnceLock::new();
+static SHELL: OnceLock<Weak<RouterServer>> = OnceLock::new();
 
 /// A question about a request whose router died.
 pub struct UsageQuery {
@@ -64,36 +64,36 @@
 }
 
 /// Watches the back ends of the own zone for ever, each on a task of its own.
-pub async fn watch_back_ends(shell: Arc<Shell>) {
-    let _ = SHELL.set(Arc::downgrade(&shell));
-    let interval = Duration::from_millis(shell.options().poll_interval_ms);
+pub async fn watch_back_ends(server: Arc<RouterServer>) {
+    let _ = SHELL.set(Arc::downgrade(&server));
+    let interval = Duration::from_millis(server.options().poll_interval_ms);
     let mut watched: HashSet<BackEndName> = HashSet::new();
     loop {
-        for target in targets(&shell) {
+        for target in targets(&server) {
             if watched.insert(target.name.clone()) {
-                tokio::spawn(watch_one(shell.clone(), target.name, interval));
+                tokio::spawn(watch_one(server.clone(), target.name, interval));
             }
         }
         tokio::time::sleep(interval).await;
     }
 }
 
-async fn watch_one(shell: Arc<Shell>, name: BackEndName, interval: Duration) {
-    let client = shell.client(true);
+async fn watch_one(server: Arc<RouterServer>, name: BackEndName, interval: Duration) {
+    let client = server.client(true);
     loop {
-        if let Some(target) = targets(&shell).into_iter().find(|target| target.name == name) {
-            poll_load(&shell, &client, &target).await;
+        if let Some(target) = targets(&server).into_iter().find(|target| target.name == name) {
+            poll_load(&server, &client, &target).await;
             if target.kind == ServiceKind::Model {
-                poll_cache(&shell, &client, &target).await;
+                poll_cache(&server, &client, &target).await;
             }
         }
         tokio::time::sleep(interval).await;
     }
 }
 
-fn targets(shell: &Shell) -> Vec<Target> {
-    let zone = shell.entry().zone.clone();
-    shell.inspect(|router| {
+fn targets(server: &RouterServer) -> Vec<Target> {
+    let zone = server.entry().zone.clone();
+    server.inspect(|router| {
         let kind_of =
             |service: &ServiceName| match router.table().get(&RowKey::Service(service.clone())) {
                 Some(Row::Service(row)) => row.kind,
@@ -129,18 +129,18 @@
     }
 }
 
-async fn poll_load(shell: &Shell, client: &Client, target: &Target) {
+async fn poll_load(server: &RouterServer, client: &Client, target: &Target) {
     let back_end = target.name.clone();
     let body = get(client, target.address, "/v1/engine/load").await;
     let report = body.and_then(|body| serde_json::from_slice::<LoadReport>(&body).ok());
     match report {
-        Some(report) => shell.handle(Event::Load { back_end, report }),
-        None => shell.handle(Event::LoadFailed { back_end }),
+        Some(report) => server.handle(Event::Load { back_end, report }),
+        None => server.handle(Event::LoadFailed { back_end }),
     }
 }
 
 /// Follows an engine's cache events; after a gap the whole cache is read.
-async fn poll_cache(shell: &Shell, client: &Client, target: &Target) {
+async fn poll_cache(server: &RouterServer, client: &Client, target: &Target) {
     let back_end = target.name.clone();
     match target.next_event {
         Some(next) => {
@@ -150,7 +150,7 @@
             };
             if let Ok(events) = serde_json::from_slice::<CacheEvents>(&body) {
                 let CacheEvents { first, changes } = events;
-                shell.handle(Event::Cache { back_end, first, changes });
+                server.handle(Event::Cache { back_end, first, changes });
             }
         }
         None => {
@@ -159,15 +159,15 @@
             };
             if let Ok(whole) = serde_json::from_slice::<WholeCache>(&body) {
                 let WholeCache { next, blocks } = whole;
-                shell.handle(Event::CacheWhole { back_end, next, blocks });
+                server.handle(Event::CacheSnapshot { back_end, next, blocks });
             }
         }
     }
 }
 
 /// Reads the platform's machine list for ever.
-pub async fn watch_platform(shell: Arc<Shell>, address: SocketAddr) {
-    let client = shell.client(true);
+pub async fn watch_platform(server: Arc<RouterServer>, address: SocketAddr) {
+    let client = server.client(true);
     loop {
         if let Some(body) = get(&client, address, "/v1/machines").await
             && let Ok(listed) = serde_json::from_slice::<Vec<ListedMachine>>(&body)
@@ -176,7 +176,7 @@
                 .into_iter()
                 .map(|line| PlatformEntry { back_end: line.back_end, leaving: line.leaving })
                 .collect();
-            shell.handle(Event::Platform(entries));
+            server.handle(Event::Platform(entries));
         }
         tokio::time::sleep(PLATFORM_INTERVAL).await;
     }
@@ -191,7 +191,7 @@
         prompt_tokens: known.prompt_tokens,
         completion_tokens: known.completion_tokens,
     });
-    if let Some(shell) = SHELL.get().and_then(Weak::upgrade) {
-        shell.handle(Event::UsageKnown { account, request, usage });
+    if let Some(server) = SHELL.get().and_then(Weak::upgrade) {
+        server.handle(Event::UsageReceived { account, request, usage });
     }
 }
--- a/crates/router/src/conductor.rs
+++ b/crates/router/src/request_task.rs
@@ -4,7 +4,7 @@
 use crate::attempt::{self, AttemptEvent, Payload, PlainBody, Timeouts};
 use crate::chat::ChatRequest;
 use crate::envelope::{refusal_answer, refusal_body};
-use crate::shell::Shell;
+use crate::server::RouterServer;
 use stackpost_http::{
     Answer, AnswerBody, BodyAborted, Bytes, Client, ConnectionWatch, HeaderMap, HeaderName,
     HeaderValue, Method, StatusCode, header,
@@ -31,7 +31,7 @@
     /// Stop an attempt.
     Cancel(u32),
     /// Bytes may flow, all but the end.
-    Open,
+    StartResponse,
     /// The end may go out.
     Finish(Tokens),
     /// Give the caller a kept answer.
@@ -43,7 +43,7 @@
 }
 
 /// What a request asks of a back end, kept for further attempts.
-pub enum Work {
+pub enum PayloadSource {
     /// A chat request.
     Chat(Arc<ChatRequest>),
     /// A call of a plain service.
@@ -62,15 +62,15 @@
 }
 
 /// Everything needed to see a request through.
-pub struct Conductor {
+pub struct RequestTask {
     /// The process.
-    pub shell: Arc<Shell>,
+    pub server: Arc<RouterServer>,
     /// The request within this process.
     pub call: CallId,
     /// The request across routers.
     pub request: RequestId,
     /// What is asked for.
-    pub work: Work,
+    pub payload_source: PayloadSource,
     /// Whether the caller expects events.
     pub stream: bool,
     /// Tells when the caller goes away.
@@ -97,7 +97,7 @@
     task: tokio::task::JoinHandle<()>,
     head: Option<(StatusCode, HeaderMap)>,
     waiting: Vec<Bytes>,
-    held: Vec<Bytes>,
+    held_back: Vec<Bytes>,
     ended: bool,
     pieces_seen: u64,
 }
@@ -108,16 +108,26 @@
     Look,
 }
 
-impl Conductor {
+impl RequestTask {
     /// Runs until the caller has its final answer or is gone.
     pub async fn run(self) {
-        let Self { shell, call, request, work, stream, watch, signals, reply, arrived_at } = self;
+        let Self {
+            server,
+            call,
+            request,
+            payload_source,
+            stream,
+            watch,
+            signals,
+            reply,
+            arrived_at,
+        } = self;
         let caller = CallerSide { reply: Some(reply), pieces: None, gone: false };
         let mut state = State {
-            shell: shell.clone(),
+            server: server.clone(),
             call,
             request,
-            work,
+            payload_source,
             stream,
             caller,
             running: None,
@@ -126,15 +136,15 @@
             arrived_at,
         };
         state.serve(watch, signals).await;
-        shell.forget(call);
+        server.unregister(call);
     }
 }
 
 struct State {
-    shell: Arc<Shell>,
+    server: Arc<RouterServer>,
     call: CallId,
     request: RequestId,
-    work: Work,
+    payload_source: PayloadSource,
     stream: bool,
     caller: CallerSide,
     running: Option<Running>,
@@ -181,7 +191,7 @@
         match signal {
             Signal::Dispatch(dispatch) => self.start(dispatch),
             Signal::Cancel(number) => self.cancel(number),
-            Signal::Open => {
+            Signal::StartResponse => {
                 self.open = true;
                 self.let_flow().await;
             }
@@ -205,9 +215,9 @@
     }
 
     fn start(&mut self, dispatch: Dispatch) {
-        let (payload, repeatable_connection) = match &mut self.work {
-            Work::Chat(chat) => (Payload::Chat(chat.clone()), true),
-            Work::Plain { method, path, headers, whole, streamed } => {
+        let (payload, repeatable_connection) = match &mut self.payload_source {
+            PayloadSource::Chat(chat) => (Payload::Chat(chat.clone()), true),
+            PayloadSource::Plain { method, path, headers, whole, streamed } => {
                 let body = match (whole.as_ref(), streamed.take()) {
                     (Some(bytes), _) => PlainBody::Whole(bytes.clone()),
                     (None, Some(pieces)) => PlainBody::Streamed(pieces),
@@ -220,8 +230,8 @@
                 (Payload::Plain { method, path, headers, body }, false)
             }
         };
-        let client: Client = self.shell.client(repeatable_connection);
-        let options = self.shell.options();
+        let client: Client = self.server.client(repeatable_connection);
+        let options = self.server.options();
         let timeout = Timeouts {
             first_byte: Duration::from_millis(options.first_byte_timeout_ms),
             chunk: Duration::from_millis(options.chunk_timeout_ms),
@@ -236,7 +246,7 @@
             task,
             head: None,
             waiting: Vec::new(),
-            held: Vec::new(),
+            held_back: Vec::new(),
             ended: false,
             pieces_seen: 0,
         });
@@ -244,7 +254,7 @@
 
     /// The body was consumed by an earlier attempt, so nothing can be sent.
     fn report_unsendable(&self, dispatch: &Dispatch) {
-        let outcome = AttemptOutcome::Broken {
+        let outcome = AttemptOutcome::Incomplete {
             reason: "the body was passed on as it came and can't be sent again".into(),
             counted: Usage::default(),
             delivered: false,
@@ -253,7 +263,7 @@
     }
 
     fn report(&self, number: u32, outcome: AttemptOutcome) {
-        self.shell.handle(Event::Attempt { call: self.call, number, outcome });
+        self.server.handle(Event::Attempt { call: self.call, number, outcome });
     }
 
     /// Dropping the attempt closes its connection, by which the engine stops generating.
@@ -274,12 +284,12 @@
     }
 
     fn counted_so_far(&self, running: &Running) -> Usage {
-        match &self.work {
-            Work::Chat(chat) => Usage {
+        match &self.payload_source {
+            PayloadSource::Chat(chat) => Usage {
                 prompt_tokens: chat.estimated_prompt_tokens,
                 completion_tokens: running.pieces_seen,
             },
-            Work::Plain { .. } => Usage::default(),
+            PayloadSource::Plain { .. } => Usage::default(),
         }
     }
 
@@ -292,16 +302,16 @@
                 running.head = Some((status, headers));
                 self.let_flow().await;
             }
-            AttemptEvent::Piece(piece) => {
+            AttemptEvent::Chunk(piece) => {
                 running.pieces_seen += 1;
                 if running.pieces_seen == 1 {
-                    self.shell.metrics().first_piece(self.arrived_at.elapsed());
+                    self.server.metrics().first_chunk(self.arrived_at.elapsed());
                 }
                 running.waiting.push(piece);
                 self.let_flow().await;
             }
-            AttemptEvent::Ended { outcome, held } => {
-                running.held = held;
+            AttemptEvent::Ended { outcome, held_back } => {
+                running.held_back = held_back;
                 running.ended = true;
                 let number = running.dispatch.number;
                 let outcome = self.with_delivery(outcome);
@@ -313,9 +323,9 @@
     /// Only the conductor knows whether anything has reached the caller.
     fn with_delivery(&self, outcome: AttemptOutcome) -> AttemptOutcome {
         match outcome {
-            AttemptOutcome::Broken { reason, counted, .. } => {
+            AttemptOutcome::Incomplete { reason, counted, .. } => {
                 let delivered = self.caller.reply.is_none();
-                AttemptOutcome::Broken { reason, counted, delivered }
+                AttemptOutcome::Incomplete { reason, counted, delivered }
             }
             other => other,
         }
@@ -328,7 +338,7 @@
         if running.ended {
             return;
         }
-        let outcome = AttemptOutcome::Broken {
+        let outcome = AttemptOutcome::Incomplete {
             reason: "the attempt's task ended without a report".into(),
             counted: self.counted_so_far(&running),
             delivered: self.caller.reply.is_none(),
@@ -340,7 +350,7 @@
         if !self.caller.gone {
             self.caller.gone = true;
             self.caller.pieces = None;
-            self.shell.handle(Event::CallerGone(self.call));
+            self.server.handle(Event::CallerGone(self.call));
         }
     }
 
@@ -354,7 +364,7 @@
         }
         if let Some((status, headers)) = running.head.take() {
             let back_end = running.dispatch.back_end.to_string();
-            self.caller.begin(status, headers, self.request, &self.shell, Some(&back_end));
+            self.caller.begin(status, headers, self.request, &self.server, Some(&back_end));
         }
         for piece in std::mem::take(&mut running.waiting) {
             self.caller.pass(piece).await;
@@ -362,15 +372,15 @@
     }
 
     async fn finish(&mut self, billed: Tokens) {
-        let held = self.running.as_mut().map(|running| std::mem::take(&mut running.held));
-        for piece in held.unwrap_or_default() {
+        let held_back = self.running.as_mut().map(|running| std::mem::take(&mut running.held_back));
+        for piece in held_back.unwrap_or_default() {
             self.caller.pass(piece).await;
         }
         if self.stream {
             let note = format!(": request={} billed={billed}\n\n", self.request);
             self.caller.pass(Bytes::from(note)).await;
         }
-        self.shell.metrics().answered(self.arrived_at.elapsed(), billed);
+        self.server.metrics().answered(self.arrived_at.elapsed(), billed);
     }
 
     fn replay(&mut self, answer: &StoredAnswer) {
@@ -385,21 +395,21 @@
         let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
         let body = Bytes::from(answer.body.as_ref().clone());
         let whole = Answer { status, headers, body: AnswerBody::Whole(body) };
-        self.shell.metrics().answered(self.arrived_at.elapsed(), Tokens::ZERO);
+        self.server.metrics().answered(self.arrived_at.elapsed(), Tokens::ZERO);
         let back_end = self.back_end.clone();
-        self.caller.reply_with(identified(whole, self.request, &self.shell, back_end.as_deref()));
+        self.caller.reply_with(identified(whole, self.request, &self.server, back_end.as_deref()));
     }
 
     async fn refuse(&mut self, refusal: &Refusal) {
         if let Some(running) = self.running.take() {
             running.task.abort();
         }
-        self.shell.metrics().refused(refusal);
+        self.server.metrics().refused(refusal);
         let (reason, outcome) = (refusal.reason.as_str(), refusal.outcome.as_str());
         log::info!(request = self.request.to_string(), reason, outcome, step = "refuse"; "{}", refusal.detail);
         if self.caller.reply.is_some() {
             let answer = refusal_answer(refusal, self.request);
-            self.caller.reply_with(identified(answer, self.request, &self.shell, None));
+            self.caller.reply_with(identified(answer, self.request, &self.server, None));
         } else if self.stream {
             let body = serde_json::to_string(&refusal_body(refusal, self.request));
             let event = format!("data: {}\n\n", body.unwrap_or_default());
@@ -417,13 +427,13 @@
         status: StatusCode,
         headers: HeaderMap,
         request: RequestId,
-        shell: &Shell,
+        server: &RouterServer,
         back_end: Option<&str>,
     ) {
         let (sender, pieces) = mpsc::channel(PIECES_AHEAD);
         self.pieces = Some(sender);
         let answer = Answer { status, headers, body: AnswerBody::Stream(pieces) };
-        self.reply_with(identified(answer, request, shell, back_end));
+        self.reply_with(identified(answer, request, server, back_end));
     }
 
     fn reply_with(&mut self, answer: Answer) {
@@ -450,8 +460,13 @@
 }
 
 /// Adds the names by which an answer can be asked about.
-fn identified(answer: Answer, request: RequestId, shell: &Shell, back_end: Option<&str>) -> Answer {
-    let decision = format!("{request}@{}", shell.machine());
+fn identified(
+    answer: Answer,
+    request: RequestId,
+    server: &RouterServer,
+    back_end: Option<&str>,
+) -> Answer {
+    let decision = format!("{request}@{}", server.machine());
     let answer = answer
         .with_header("x-request-id", &request.to_string())
         .with_header("x-stackpost-decision", &decision);
--- a/crates/router/src/shell.rs
+++ b/crates/router/src/server.rs
@@ -1,10 +1,10 @@
 //! Runs the state machine and carries out its effects.
 
-use crate::conductor::Signal;
 use crate::metrics::Metrics;
 use crate::poll;
+use crate::request_task::Signal;
 use stackpost_http::Client;
-use stackpost_protocol::{Parcel, Peer};
+use stackpost_protocol::{MessageBatch, Peer};
 use stackpost_router_core::{CallId, Dispatch, Effect, Event, Router, RouterConfig};
 use stackpost_settings::{FleetSettings, MachineEntry, RouterOptions};
 use stackpost_table::{Row, RowKey};
@@ -18,7 +18,7 @@
 use tokio::sync::{Notify, mpsc};
 
 /// The process around the state machine.
-pub struct Shell {
+pub struct RouterServer {
     started: Instant,
     entry: MachineEntry,
     options: RouterOptions,
@@ -40,7 +40,7 @@
     calls: HashMap<CallId, mpsc::UnboundedSender<Signal>>,
 }
 
-impl Shell {
+impl RouterServer {
     /// Sets the process up. Must be called inside a Tokio runtime.
     pub fn new(settings: &FleetSettings, entry: &MachineEntry, metrics: Metrics) -> Arc<Self> {
         let replicas: Vec<MachineName> =
@@ -113,7 +113,7 @@
     }
 
     /// Forgets a request that is finished.
-    pub fn forget(&self, call: CallId) {
+    pub fn unregister(&self, call: CallId) {
         self.lock().calls.remove(&call);
     }
 
@@ -128,8 +128,8 @@
     }
 
     /// Takes in a parcel from another process of the fleet.
-    pub fn receive(&self, parcel: Parcel) {
-        let Parcel { from, to, messages } = parcel;
+    pub fn receive(&self, batch: MessageBatch) {
+        let MessageBatch { from, to, messages } = batch;
         let mine = match &to {
             Peer::Router(node) => self.inspect(|router| router.node() == node),
             Peer::Control(_) => false,
@@ -181,7 +181,7 @@
             }
             Effect::Dispatch(dispatch) => signal(core, dispatch.call, dispatched(dispatch)),
             Effect::Cancel { call, number } => signal(core, call, Signal::Cancel(number)),
-            Effect::Open(call) => signal(core, call, Signal::Open),
+            Effect::StartResponse(call) => signal(core, call, Signal::StartResponse),
             Effect::Finish { call, billed } => signal(core, call, Signal::Finish(billed)),
             Effect::Replay { call, answer } => signal(core, call, Signal::Replay(answer)),
             Effect::Refuse { call, refusal } => signal(core, call, Signal::Refuse(refusal)),
@@ -202,10 +202,10 @@
         let replicas = self.control.keys().cloned().collect();
         let config = new_life(&self.entry, replicas, self.has_platform);
         log::warn!(node = config.node.to_string(), step = "fence"; "the account was taken over: goes on as a new life");
-        self.outbox.rename(Peer::Router(config.node.clone()));
+        self.outbox.set_sender(Peer::Router(config.node.clone()));
         let empty = Router::new(config.clone(), self.now());
         let ended = std::mem::replace(&mut core.router, empty);
-        core.router = ended.next_life(config, self.now());
+        core.router = ended.next_incarnation(config, self.now());
     }
 
     fn address_of(&self, router: &Router, peer: &Peer) -> Option<SocketAddr> {
--- a/crates/router/src/sse.rs
+++ b/crates/router/src/sse.rs
@@ -21,7 +21,7 @@
     }
 
     /// Whether an event has begun but not ended.
-    pub fn is_in_event(&self) -> bool {
+    pub fn has_partial_event(&self) -> bool {
         !self.pending.is_empty()
     }
 }
@@ -37,7 +37,7 @@
 }
 
 /// The content of an event's `data` fields, joined by line feeds.
-pub fn data_of(event: &[u8]) -> Option<String> {
+pub fn event_data(event: &[u8]) -> Option<String> {
     let text = std::str::from_utf8(event).ok()?;
     let lines: Vec<&str> = text
         .lines()
--- a/crates/router/tests/parsing.rs
+++ b/crates/router/tests/parsing.rs
@@ -1,9 +1,9 @@
 //! Headers, events and request bodies as the router reads them.
 
 use stackpost_http::{HeaderMap, HeaderName, HeaderValue};
-use stackpost_router::attempt::without_hop_by_hop;
+use stackpost_router::attempt::strip_hop_by_hop_headers;
 use stackpost_router::chat::ChatRequest;
-use stackpost_router::sse::{EventSplitter, data_of};
+use stackpost_router::sse::{EventSplitter, event_data};
 use stackpost_router_core::Target;
 
 #[test]
@@ -22,7 +22,7 @@
     for (name, value) in pairs {
         headers.append(HeaderName::from_static(name), HeaderValue::from_static(value));
     }
-    let kept = without_hop_by_hop(headers);
+    let kept = strip_hop_by_hop_headers(headers);
     let mut names: Vec<&str> = kept.keys().map(HeaderName::as_str).collect();
     names.sort_unstable();
     assert_eq!(names, ["content-length", "x-public"]);
@@ -35,9 +35,9 @@
         let mut splitter = EventSplitter::default();
         let mut events = splitter.push(&text.as_bytes()[..cut]);
         events.extend(splitter.push(&text.as_bytes()[cut..]));
-        let data: Vec<Option<String>> = events.iter().map(|event| data_of(event)).collect();
+        let data: Vec<Option<String>> = events.iter().map(|event| event_data(event)).collect();
         assert_eq!(data, [Some("one".into()), None, Some("a\nb".into())], "cut at {cut}");
-        assert!(splitter.is_in_event());
+        assert!(splitter.has_partial_event());
     }
 }
 
--- a/crates/sim/src/back_ends.rs
+++ b/crates/sim/src/back_ends.rs
@@ -183,5 +183,5 @@
 
 fn broken(reason: &str) -> AttemptOutcome {
     let counted = Usage { prompt_tokens: PROMPT_TOKENS, completion_tokens: 1 };
-    AttemptOutcome::Broken { reason: reason.into(), counted, delivered: false }
+    AttemptOutcome::Incomplete { reason: reason.into(), counted, delivered: false }
 }
--- a/crates/sim/src/caller_actions.rs
+++ b/crates/sim/src/caller_actions.rs
@@ -140,7 +140,7 @@
             AttemptEnd::Lost { .. } => safe.then(|| self.rng.random_range(20..600)),
             AttemptEnd::Refused(refusal) => {
                 let pause = refusal.retry_after?.0;
-                let may = refusal.outcome == Outcome::NotRun || safe;
+                let may = refusal.outcome == ExecutionOutcome::NotRun || safe;
                 may.then(|| pause + self.rng.random_range(0..100))
             }
         }
--- a/crates/sim/src/checks.rs
+++ b/crates/sim/src/checks.rs
@@ -5,7 +5,7 @@
 use crate::engines::Execution;
 use crate::world::World;
 use stackpost_ledger::Bill;
-use stackpost_router_core::Outcome;
+use stackpost_router_core::ExecutionOutcome;
 use stackpost_table::{AccountState, Row, RowKey};
 use stackpost_types::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -180,7 +180,7 @@
             add(Promise::BilledOnce, format!("{}: {count} bills", attempt.request));
         }
         let not_run = matches!(&attempt.end,
-            Some((_, AttemptEnd::Refused(refusal))) if refusal.outcome == Outcome::NotRun);
+            Some((_, AttemptEnd::Refused(refusal))) if refusal.outcome == ExecutionOutcome::NotRun);
         if not_run && count > 0 {
             add(Promise::BilledOnce, format!("{}: not run, yet billed", attempt.request));
         }
@@ -221,7 +221,7 @@
 fn check_refusals(world: &World, record: &CallerRecord, add: &mut impl FnMut(Promise, String)) {
     for attempt in &record.attempts {
         let Some((ended_at, AttemptEnd::Refused(refusal))) = &attempt.end else { continue };
-        if refusal.outcome != Outcome::NotRun {
+        if refusal.outcome != ExecutionOutcome::NotRun {
             continue;
         }
         // Under a key, attempts that ended before are the same request, and so are those still
--- a/crates/sim/src/effects.rs
+++ b/crates/sim/src/effects.rs
@@ -31,7 +31,7 @@
                 self.schedule(1, action);
             }
             Effect::Cancel { call, number } => self.cancel(node, call, number),
-            Effect::Open(_) => {}
+            Effect::StartResponse(_) => {}
             Effect::Dropped(call) => self.end_attempt(&(node.clone(), call), AttemptEnd::Left),
             Effect::Finish { call, billed } => {
                 self.history.note(self.now, node, format!("finishes {}: {billed}", call.0));
@@ -77,7 +77,7 @@
         let Some(ended) = process.router.take() else { return };
         process.lives += 1;
         let config = process.config(&node.machine, control, defects);
-        process.router = Some(ended.next_life(config, process.clock(now)));
+        process.router = Some(ended.next_incarnation(config, process.clock(now)));
         self.begin_life(&node.machine);
     }
 
--- a/crates/sim/src/lifecycle.rs
+++ b/crates/sim/src/lifecycle.rs
@@ -114,8 +114,8 @@
         process.frozen = false;
         process.newest_version = replica.state().table().version();
         if let Some(bytes) = torn_bytes {
-            process.disk.lose_power(bytes);
-            process.bill_disk.lose_power(bytes);
+            process.disk.simulate_power_loss(bytes);
+            process.bill_disk.simulate_power_loss(bytes);
         }
         self.held.remove(&ProcessId::Replica(machine.clone()));
         self.history.note(now, format!("control {machine}"), "dies");
--- a/crates/sim/src/step.rs
+++ b/crates/sim/src/step.rs
@@ -72,7 +72,7 @@
             Message::ClaimKey(_) => vec![Self::KeyAsked],
             Message::ClaimReply(_) => vec![Self::KeyGranted],
             Message::FetchAnswer(_) => vec![Self::AnswerFetched],
-            Message::Mirror(MirrorMessage::Base { .. }) => vec![Self::BaseCopied],
+            Message::Mirror(MirrorMessage::Snapshot { .. }) => vec![Self::BaseCopied],
             Message::Mirror(MirrorMessage::Batch { records, .. }) => of_records(records),
             Message::Pull(_) => vec![Self::RightsAsked],
             Message::Transfer(_) => vec![Self::TransferOnTheWay],
@@ -98,7 +98,7 @@
     pub fn of_effect(effect: &Effect) -> Option<Self> {
         match effect {
             Effect::Dispatch(_) => Some(Self::Dispatched),
-            Effect::Open(_) => Some(Self::FirstBytes),
+            Effect::StartResponse(_) => Some(Self::FirstBytes),
             Effect::Finish { .. } => Some(Self::Finished),
             _ => None,
         }
--- a/crates/sim/src/world.rs
+++ b/crates/sim/src/world.rs
@@ -381,7 +381,7 @@
                 self.router_event(&node, event);
             }
             Action::UsageAnswer { node, account, request, usage } => {
-                self.router_event(&node, Event::UsageKnown { account, request, usage });
+                self.router_event(&node, Event::UsageReceived { account, request, usage });
             }
             Action::CallerTries(caller) => self.caller_tries(caller),
             Action::PlatformRead { machine, life } => self.platform_read(&machine, life),
--- a/crates/sim/tests/defects.rs
+++ b/crates/sim/tests/defects.rs
@@ -53,7 +53,7 @@
 
 #[test]
 fn a_crossed_answer_is_noticed() {
-    let defect = router(Defects { cross_answers: true, ..Defects::default() });
+    let defect = router(Defects { swap_answers: true, ..Defects::default() });
     assert!(turns_red(defect, &QUIET, Promise::OwnWholeAnswer));
 }
 
--- a/crates/storage/src/log_store.rs
+++ b/crates/storage/src/log_store.rs
@@ -3,7 +3,7 @@
 use crate::disk::{Disk, DiskError};
 use crate::record::{self, Framed};
 use serde::{Deserialize, Serialize};
-use stackpost_consensus::{Entry, HardState, LogIndex, Restored, Snapshot};
+use stackpost_consensus::{Entry, HardState, LogIndex, RestoredState, Snapshot};
 use thiserror::Error;
 
 const IDENTITY_FILE: &str = "identity";
@@ -63,10 +63,10 @@
     }
 
     /// Opens an existing data folder and reads what it holds.
-    pub fn open(disk: D) -> Result<(Self, Restored), StoreError> {
+    pub fn open(disk: D) -> Result<(Self, RestoredState), StoreError> {
         let files = disk.list()?;
         let identity = read_identity(&disk)?;
-        let mut restored = Restored::default();
+        let mut restored = RestoredState::default();
         if files.iter().any(|file| file == SNAPSHOT_FILE) {
             restored.snapshot = read_snapshot(&disk)?;
         }
@@ -134,7 +134,7 @@
         &mut self,
         file: &str,
         is_last: bool,
-        restored: &mut Restored,
+        restored: &mut RestoredState,
     ) -> Result<(), StoreError> {
         let bytes = self.disk.read(file)?;
         let mut position = 0;
@@ -161,7 +161,7 @@
 }
 
 /// An entry replaces everything from its index on.
-fn replay(record: Record, restored: &mut Restored) {
+fn replay(record: Record, restored: &mut RestoredState) {
     match record {
         Record::HardState(hard_state) => restored.hard_state = hard_state,
         Record::Entry(entry) => {
@@ -176,7 +176,7 @@
 
 /// Entries up to the snapshot are covered by it. Those after it are kept only if they follow on
 /// from it: a crash just after a foreign snapshot was stored leaves the old log beside it.
-fn drop_what_the_snapshot_replaces(restored: &mut Restored) {
+fn drop_what_the_snapshot_replaces(restored: &mut RestoredState) {
     let Snapshot { index, term, .. } = restored.snapshot;
     let conflicts = restored.entries.iter().any(|held| held.index == index && held.term != term);
     restored.entries.retain(|entry| entry.index > index && !conflicts);
--- a/crates/storage/src/memory_disk.rs
+++ b/crates/storage/src/memory_disk.rs
@@ -27,7 +27,7 @@
 
 impl MemoryDisk {
     /// Loses power: each file keeps what was synced and the first `torn_bytes` after it.
-    pub fn lose_power(&self, torn_bytes: usize) {
+    pub fn simulate_power_loss(&self, torn_bytes: usize) {
         for file in self.folder.borrow_mut().files.values_mut() {
             let kept = (file.synced + torn_bytes).min(file.content.len());
             file.content.truncate(kept);
@@ -42,7 +42,7 @@
     }
 
     /// Refuses writes once the folder holds `bytes`.
-    pub fn limit(&self, bytes: Option<usize>) {
+    pub fn set_capacity(&self, bytes: Option<usize>) {
         self.folder.borrow_mut().capacity = bytes;
     }
 
@@ -52,7 +52,7 @@
     }
 
     /// Flips one bit of a file.
-    pub fn damage(&self, file: &str, offset: usize) {
+    pub fn flip_bit(&self, file: &str, offset: usize) {
         if let Some(held) = self.folder.borrow_mut().files.get_mut(file)
             && let Some(byte) = held.content.get_mut(offset)
         {
--- a/crates/storage/tests/log_store.rs
+++ b/crates/storage/tests/log_store.rs
@@ -1,7 +1,7 @@
 //! The log store keeps what it has acknowledged, whatever the disk does to the rest.
 
 use proptest::prelude::*;
-use stackpost_consensus::{Entry, HardState, Payload, Restored, Snapshot, Voters};
+use stackpost_consensus::{Entry, HardState, Payload, RestoredState, Snapshot, Voters};
 use stackpost_storage::{Disk, FileDisk, LogStore, MemoryDisk, RecordLog, StoreError};
 
 const SEGMENT: &str = "log-000000000000";
@@ -10,7 +10,7 @@
     Entry { term, index, payload: Payload::Command(vec![index as u8; 20]) }
 }
 
-fn reopened(disk: &MemoryDisk) -> Restored {
+fn reopened(disk: &MemoryDisk) -> RestoredState {
     LogStore::open(disk.clone()).expect("opens").1
 }
 
@@ -23,7 +23,7 @@
         .expect("synced");
     // A write that never was synced, of which a few bytes reach the disk.
     disk.clone().append(SEGMENT, &[1; 50]).expect("written");
-    disk.lose_power(11);
+    disk.simulate_power_loss(11);
     let restored = reopened(&disk);
     assert_eq!(restored.entries, vec![entry(1, 3)]);
     assert_eq!(restored.hard_state.term, 3);
@@ -36,7 +36,7 @@
     for index in 1..=3 {
         store.append(None, &[entry(index, 1)]).expect("synced");
     }
-    disk.damage(SEGMENT, 20);
+    disk.flip_bit(SEGMENT, 20);
     let error = LogStore::open(disk).expect_err("damaged");
     assert!(matches!(error, StoreError::Damaged { position: 0, .. }), "{error}");
     assert!(error.to_string().contains("rejoins under a new identity"), "{error}");
@@ -54,7 +54,7 @@
     let written = disk.read(SEGMENT).expect("read").len();
     for hole in synced..written {
         let struck = copy_of(&disk);
-        struck.damage(SEGMENT, hole);
+        struck.flip_bit(SEGMENT, hole);
         assert_eq!(reopened(&struck).entries, vec![entry(1, 1)], "hole at byte {hole}");
     }
 }
@@ -72,10 +72,10 @@
     let disk = MemoryDisk::default();
     let mut store = LogStore::create(disk.clone(), 9).expect("created");
     store.append(None, &[entry(1, 1)]).expect("synced");
-    disk.limit(Some(60));
+    disk.set_capacity(Some(60));
     let error = store.append(None, &[entry(2, 1)]).expect_err("full");
     assert!(error.to_string().starts_with("storage: append to"), "{error}");
-    disk.limit(None);
+    disk.set_capacity(None);
     assert_eq!(reopened(&disk).entries, vec![entry(1, 1)]);
 }
 
@@ -94,9 +94,9 @@
     let mut store = LogStore::create(disk.clone(), 9).expect("created");
     store.append(None, &[entry(1, 1), entry(2, 1), entry(3, 1)]).expect("synced");
     let foreign = Snapshot { index: 2, term: 5, voters: Voters::new(), data: vec![7] };
-    disk.limit(Some(0));
+    disk.set_capacity(Some(0));
     store.install(&foreign, &HardState::default(), &[]).expect_err("full");
-    disk.limit(None);
+    disk.set_capacity(None);
     let restored = reopened(&disk);
     assert_eq!((restored.snapshot.term, restored.entries), (5, Vec::new()));
 }
@@ -132,7 +132,7 @@
         for record in &unsynced {
             log.append(record).expect("written");
         }
-        disk.lose_power(torn);
+        disk.simulate_power_loss(torn);
         let (_, read) = RecordLog::open(disk, "bills").expect("opens");
         prop_assert!(read.len() >= synced.len());
         prop_assert_eq!(&read[..synced.len()], &synced[..]);
--- a/crates/table/src/command.rs
+++ b/crates/table/src/command.rs
@@ -35,7 +35,7 @@
         expected: Epoch,
     },
     /// Owner and backup are both gone.
-    Lose {
+    MarkLost {
         /// The account.
         account: AccountId,
         /// The epoch the leader knows.
--- a/crates/table/src/row.rs
+++ b/crates/table/src/row.rs
@@ -249,7 +249,7 @@
 }
 
 /// Number of slots over which a zone's idempotency keys are spread.
-pub const KEY_SLOTS: usize = 16;
+pub const KEY_SLOT_COUNT: usize = 16;
 
 /// Which accounts keep the idempotency keys of a zone.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
--- a/crates/table/src/state_machine.rs
+++ b/crates/table/src/state_machine.rs
@@ -60,8 +60,8 @@
             Command::Seal { account, expected } => {
                 CommandOutcome::Account(self.seal(index, account, *expected))
             }
-            Command::Lose { account, expected } => {
-                CommandOutcome::Account(self.lose(index, account, *expected))
+            Command::MarkLost { account, expected } => {
+                CommandOutcome::Account(self.mark_lost(index, account, *expected))
             }
             Command::CommitReturn { budget, account, total } => {
                 self.commit_return(index, budget, account, *total)
@@ -253,7 +253,7 @@
         Ok(epoch)
     }
 
-    fn lose(
+    fn mark_lost(
         &mut self,
         index: Version,
         account: &AccountId,
@@ -287,7 +287,7 @@
             _ => None,
         };
         let mut slots = KeySlotsRow { accounts: Vec::new(), forgotten: Vec::new() };
-        for slot in 0..KEY_SLOTS {
+        for slot in 0..KEY_SLOT_COUNT {
             let held = old.as_ref().map(|row| (&row.accounts[slot], row.forgotten[slot]));
             let living = held.filter(|(account, _)| self.is_living(account));
             match living {
--- a/crates/table/tests/edits.rs
+++ b/crates/table/tests/edits.rs
@@ -165,7 +165,7 @@
             other => panic!("{other:?}"),
         };
     assert!(slots(&machine).accounts.iter().all(|keeper| *keeper == account));
-    let lose = Command::Lose { account: account.clone(), expected: Epoch(3) };
+    let lose = Command::MarkLost { account: account.clone(), expected: Epoch(3) };
     machine.apply(Version(33), &lose);
     let node = NodeId { machine: "north".into(), incarnation: Incarnation(2) };
     let fresh = AccountId::mirrored(&node);
--- a/crates/transport/src/inbox.rs
+++ b/crates/transport/src/inbox.rs
@@ -1,8 +1,8 @@
 //! The receiving side.
 
-use crate::{Fleet, MAX_PARCEL_BYTES};
+use crate::{Fleet, MAX_BATCH_BYTES};
 use futures::StreamExt;
-use stackpost_protocol::Parcel;
+use stackpost_protocol::MessageBatch;
 use stackpost_types::{PeerError, Step};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 use tarpc::tokio_serde::formats::Bincode;
 
 /// What to do with a parcel. Must not block.
-type Receiver = Arc<dyn Fn(Parcel) + Send + Sync>;
+type Receiver = Arc<dyn Fn(MessageBatch) + Send + Sync>;
 
 #[derive(Clone)]
 struct Server {
@@ -22,20 +22,20 @@
 impl Fleet for Server {
     // The parcel is handed over in one step: if the sender goes away, this future may be dropped
     // at any await.
-    async fn deliver(self, _: Context, parcel: Parcel) {
-        (self.receiver)(parcel);
+    async fn deliver(self, _: Context, batch: MessageBatch) {
+        (self.receiver)(batch);
     }
 }
 
 /// Receives parcels on `address` for ever. The listener is bound before this returns.
 pub async fn listen(
     address: SocketAddr,
-    receiver: impl Fn(Parcel) + Send + Sync + 'static,
+    receiver: impl Fn(MessageBatch) + Send + Sync + 'static,
 ) -> Result<(), PeerError> {
     let mut listener = tcp::listen(address, Bincode::default)
         .await
         .map_err(|error| PeerError::new(Step::Listen, address, error))?;
-    listener.config_mut().max_frame_length(MAX_PARCEL_BYTES);
+    listener.config_mut().max_frame_length(MAX_BATCH_BYTES);
     let server = Server { receiver: Arc::new(receiver) };
     tokio::spawn(async move {
         while let Some(connection) = listener.next().await {
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -10,11 +10,11 @@
 pub use inbox::listen;
 pub use outbox::Outbox;
 
-use stackpost_protocol::Parcel;
+use stackpost_protocol::MessageBatch;
 use stackpost_types::Millis;
 
 /// Largest parcel in bytes; a whole configuration or account has to fit.
-const MAX_PARCEL_BYTES: usize = 64 << 20;
+const MAX_BATCH_BYTES: usize = 64 << 20;
 /// Longest wait for a parcel's acknowledgement.
 const DELIVERY_TIMEOUT: Millis = Millis(2_000);
 
@@ -22,5 +22,5 @@
 #[tarpc::service]
 pub trait Fleet {
     /// Hands over a parcel. The answer says only that it has arrived.
-    async fn deliver(parcel: Parcel);
+    async fn deliver(batch: MessageBatch);
 }
--- a/crates/transport/src/outbox.rs
+++ b/crates/transport/src/outbox.rs
@@ -1,7 +1,7 @@
 //! The sending side.
 
-use crate::{DELIVERY_TIMEOUT, FleetClient, MAX_PARCEL_BYTES};
-use stackpost_protocol::{Message, Parcel, Peer};
+use crate::{DELIVERY_TIMEOUT, FleetClient, MAX_BATCH_BYTES};
+use stackpost_protocol::{Message, MessageBatch, Peer};
 use stackpost_types::Millis;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -16,7 +16,7 @@
 /// Messages that may wait for one peer; more are dropped.
 const QUEUE_LIMIT: usize = 4_096;
 /// Messages in one parcel.
-const MESSAGES_PER_PARCEL: usize = 256;
+const MESSAGES_PER_BATCH: usize = 256;
 /// Pause after a failed connection.
 const RECONNECT_PAUSE: Millis = Millis(100);
 /// Longest wait for a connection.
@@ -40,7 +40,7 @@
     }
 
     /// Sends under another name from now on.
-    pub fn rename(&self, from: Peer) {
+    pub fn set_sender(&self, from: Peer) {
         *self.from.lock().unwrap_or_else(PoisonError::into_inner) = from;
     }
 
@@ -73,7 +73,7 @@
     let idle = Duration::from_millis(IDLE_LIMIT.0);
     while let Ok(Some(first)) = tokio::time::timeout(idle, queue.recv()).await {
         let sender = from.lock().unwrap_or_else(PoisonError::into_inner).clone();
-        let parcels = gather(sender, first, &mut queue);
+        let batches = gather(sender, first, &mut queue);
         if client.is_none() {
             client = connect(address).await;
         }
@@ -83,10 +83,10 @@
             while queue.try_recv().is_ok() {}
             continue;
         };
-        for parcel in parcels {
+        for batch in batches {
             let mut call = context::current();
             call.deadline = Instant::now() + Duration::from_millis(DELIVERY_TIMEOUT.0);
-            if let Err(error) = connected.deliver(call, parcel).await {
+            if let Err(error) = connected.deliver(call, batch).await {
                 log::debug!("send to {address}: {error}");
                 client = None;
                 break;
@@ -100,24 +100,24 @@
     from: Peer,
     first: (Peer, Message),
     queue: &mut mpsc::Receiver<(Peer, Message)>,
-) -> Vec<Parcel> {
-    let mut parcels: Vec<Parcel> = Vec::new();
+) -> Vec<MessageBatch> {
+    let mut batches: Vec<MessageBatch> = Vec::new();
     let mut next = Some(first);
     let mut taken = 0;
     while let Some((to, message)) = next {
-        match parcels.last_mut().filter(|parcel| parcel.to == to) {
-            Some(parcel) => parcel.messages.push(message),
-            None => parcels.push(Parcel { from: from.clone(), to, messages: vec![message] }),
+        match batches.last_mut().filter(|batch| batch.to == to) {
+            Some(batch) => batch.messages.push(message),
+            None => batches.push(MessageBatch { from: from.clone(), to, messages: vec![message] }),
         }
         taken += 1;
-        next = if taken < MESSAGES_PER_PARCEL { queue.try_recv().ok() } else { None };
+        next = if taken < MESSAGES_PER_BATCH { queue.try_recv().ok() } else { None };
     }
-    parcels
+    batches
 }
 
 async fn connect(address: SocketAddr) -> Option<FleetClient> {
     let mut connecting = tcp::connect(address, Bincode::default);
-    connecting.config_mut().max_frame_length(MAX_PARCEL_BYTES);
+    connecting.config_mut().max_frame_length(MAX_BATCH_BYTES);
     let limit = Duration::from_millis(CONNECT_TIMEOUT.0);
     match tokio::time::timeout(limit, connecting).await {
         Ok(Ok(transport)) => Some(FleetClient::new(Config::default(), transport).spawn()),
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -13,4 +13,4 @@
 pub use hash::{Digest, KeyHash, rendezvous_rank};
 pub use names::*;
 pub use quantities::{Millis, Timestamp, Tokens, WallTime};
-pub use request_rate::{NoRate, RequestRate};
+pub use request_rate::{ParseRateError, RequestRate};
--- a/crates/types/src/names.rs
+++ b/crates/types/src/names.rs
@@ -81,11 +81,11 @@
 const LIFE_MARK: char = '@';
 
 impl BackEndName {
-    /// Names one life of an engine that may start again under its id. `born` is the Unix millisecond of its
+    /// Names one life of an engine that may start again under its id. `started_at_ms` is the Unix millisecond of its
     /// start; without it the id itself names the only life.
-    pub fn of_life(id: &str, born: Option<u64>) -> Self {
-        match born {
-            Some(born) => Self::new(format!("{id}{LIFE_MARK}{born}")),
+    pub fn of_incarnation(id: &str, started_at_ms: Option<u64>) -> Self {
+        match started_at_ms {
+            Some(started_at_ms) => Self::new(format!("{id}{LIFE_MARK}{started_at_ms}")),
             None => Self::new(id),
         }
     }
@@ -96,9 +96,12 @@
     }
 
     /// When this life began, in Unix milliseconds; zero if the engine does not say.
-    pub fn born(&self) -> u64 {
-        let born = self.as_str().split_once(LIFE_MARK).and_then(|(_, born)| born.parse().ok());
-        born.unwrap_or(0)
+    pub fn started_at_ms(&self) -> u64 {
+        let started_at_ms = self
+            .as_str()
+            .split_once(LIFE_MARK)
+            .and_then(|(_, started_at_ms)| started_at_ms.parse().ok());
+        started_at_ms.unwrap_or(0)
     }
 }
 
--- a/crates/types/src/quantities.rs
+++ b/crates/types/src/quantities.rs
@@ -72,13 +72,13 @@
 
 impl Millis {
     /// Longest rest that is believed, a day: longer ones are taken for slips, since the server would be lost.
-    pub const LONGEST_REST: Self = Self(86_400_000);
+    pub const MAX_RETRY_AFTER: Self = Self(86_400_000);
 
     /// A rest that a server asks for, in seconds with fractions, as text. A date, a negative number or a time longer
-    /// than [`Self::LONGEST_REST`] is none.
-    pub fn parse_rest(text: &str) -> Option<Self> {
+    /// than [`Self::MAX_RETRY_AFTER`] is none.
+    pub fn parse_retry_after(text: &str) -> Option<Self> {
         let seconds: f64 = text.trim().parse().ok()?;
-        let longest = Self::LONGEST_REST.0 as f64 / 1_000.0;
+        let longest = Self::MAX_RETRY_AFTER.0 as f64 / 1_000.0;
         (0.0..=longest).contains(&seconds).then(|| Self((seconds * 1_000.0).ceil() as u64))
     }
 }
--- a/crates/types/src/request_rate.rs
+++ b/crates/types/src/request_rate.rs
@@ -16,22 +16,22 @@
 
 /// A text that states no rate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("no number of requests a second up to {}", RequestRate::LARGEST)]
-pub struct NoRate;
+#[error("no number of requests a second up to {}", RequestRate::MAX)]
+pub struct ParseRateError;
 
 impl RequestRate {
     /// No request at all.
     pub const ZERO: Self = Self(0);
     /// A million a second. Nobody serves as many, so a larger number is taken for a slip.
-    pub const LARGEST: Self = Self(1_000_000_000);
+    pub const MAX: Self = Self(1_000_000_000);
 
-    /// A rate of so many requests in a thousand seconds, [`Self::LARGEST`] at most.
-    pub fn per_thousand_seconds(requests: u32) -> Self {
-        Self(requests).min(Self::LARGEST)
+    /// A rate of so many requests in a thousand seconds, [`Self::MAX`] at most.
+    pub fn from_milli_rps(requests: u32) -> Self {
+        Self(requests).min(Self::MAX)
     }
 
     /// Requests in a thousand seconds.
-    pub fn in_thousand_seconds(self) -> u64 {
+    pub fn milli_rps(self) -> u64 {
         u64::from(self.0)
     }
 }
@@ -39,7 +39,7 @@
 impl Add for RequestRate {
     type Output = Self;
     fn add(self, other: Self) -> Self {
-        Self(self.0.saturating_add(other.0)).min(Self::LARGEST)
+        Self(self.0.saturating_add(other.0)).min(Self::MAX)
     }
 }
 
@@ -50,20 +50,20 @@
 }
 
 impl FromStr for RequestRate {
-    type Err = NoRate;
+    type Err = ParseRateError;
 
     /// Reads digits with at most one point among them: no sign, no exponent, no comma.
-    fn from_str(text: &str) -> Result<Self, NoRate> {
+    fn from_str(text: &str) -> Result<Self, ParseRateError> {
         let text = text.trim();
         let is_plain = text.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
-        let a_second: f64 = text.parse().map_err(|_| NoRate)?;
-        let largest = f64::from(Self::LARGEST.0) / 1_000.0;
+        let a_second: f64 = text.parse().map_err(|_| ParseRateError)?;
+        let largest = f64::from(Self::MAX.0) / 1_000.0;
         if !is_plain || a_second > largest {
-            return Err(NoRate);
+            return Err(ParseRateError);
         }
         // The product may fall a little short of a whole number that the text states.
-        let in_thousand_seconds = (a_second * 1_000.0 + ROUNDING_SLACK).floor();
-        Ok(Self(in_thousand_seconds as u32))
+        let milli_rps = (a_second * 1_000.0 + ROUNDING_SLACK).floor();
+        Ok(Self(milli_rps as u32))
     }
 }
 
