--- a/crates/gateway-core/src/account_owners.rs
+++ b/crates/gateway-core/src/account_owners.rs
@@ -1,11 +1,12 @@
-//! Which router of a zone keeps the zone's account of a tenant's budget.
+//! Which router of a zone owns the zone's account of a tenant's budget.
 //!
-//! A router alone meets a tenant too seldom to hold tokens for it: among many routers what a budget has left lies in
-//! hands none of which covers a request. So each tenant has one *owner* in each zone, by rendezvous hashing over the
-//! zone's routers, and the others reserve there. A zone that is cut off has its own owners.
+//! A single router receives a tenant's requests too rarely to hold tokens for it: spread over many
+//! routers, the rest of a budget is in parts none of which covers a request. So each tenant has one
+//! *owner* in each zone, by rendezvous hashing over the zone's routers, and the other routers
+//! reserve tokens there. A partitioned zone has owners of its own.
 //!
-//! Routers may differ for a moment in whom they take for the owner. Each of two owners spends only what the ledger has
-//! allotted to it, so nothing but the number of accounts depends on it.
+//! Routers may briefly disagree about the owner. Each of two owners spends only what the ledger has
+//! allotted to it, so only the number of accounts depends on it.
 
 use crate::hashing::mix;
 use crate::router_lists::RouterEndpoint;
@@ -14,12 +15,12 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
 
-/// Routers of the own zone that may be asked for one request: the owner, and who would be it without the owner.
-const ASKED_IN_ZONE: usize = 2;
-/// A router that does not answer is passed over for so long.
-const PASSED_OVER_FOR: Millis = Millis(1_000);
+/// Routers of the own zone that may be asked for one request: the owner, and the next in rank.
+const MAX_LENDERS_IN_ZONE: usize = 2;
+/// Time for which a router that did not respond is skipped.
+const UNRESPONSIVE_TIME: Millis = Millis(1_000);
 
-/// A router of a zone, with what its rank for a tenant is made of.
+/// A router of a zone, with its hash for rendezvous ranking.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Candidate {
     address: SocketAddr,
@@ -31,44 +32,47 @@
 pub struct AccountOwners {
     own: Option<RouterEndpoint>,
     zones: BTreeMap<ZoneName, Vec<Candidate>>,
-    passed_over_until: HashMap<SocketAddr, Timestamp>,
+    unresponsive_until: HashMap<SocketAddr, Timestamp>,
 }
 
 impl AccountOwners {
-    /// Takes over which routers there are; `own` is one of them, listed or not.
+    /// Sets the running routers; `own` counts as one of them even if it is not listed.
     pub fn set_endpoints(&mut self, own: &RouterEndpoint, endpoints: &BTreeSet<RouterEndpoint>) {
         self.own = Some(own.clone());
         self.zones.clear();
-        for site in endpoints.iter().chain([own].into_iter().filter(|own| !endpoints.contains(own)))
+        for endpoint in
+            endpoints.iter().chain([own].into_iter().filter(|own| !endpoints.contains(own)))
         {
-            let candidate = Candidate { address: site.address, hash: router_hash(site.address) };
-            self.zones.entry(site.zone.clone()).or_default().push(candidate);
+            let candidate =
+                Candidate { address: endpoint.address, hash: router_hash(endpoint.address) };
+            self.zones.entry(endpoint.zone.clone()).or_default().push(candidate);
         }
     }
 
-    /// A router has not answered.
+    /// Records that a router has not responded.
     pub fn on_no_answer(&mut self, now: Timestamp, router: SocketAddr) {
-        self.passed_over_until.retain(|_, until| now < *until);
-        self.passed_over_until.insert(router, now + PASSED_OVER_FOR);
+        self.unresponsive_until.retain(|_, until| now < *until);
+        self.unresponsive_until.insert(router, now + UNRESPONSIVE_TIME);
     }
 
-    /// Whether this router keeps its zone's account of `tenant`. While nothing is known of the others it does.
+    /// Whether this router owns its zone's account of `tenant`. It does while no other router is
+    /// known.
     pub fn is_owner(&self, now: Timestamp, tenant: &TenantName) -> bool {
         self.lenders_in_zone(now, tenant).is_empty()
     }
 
-    /// Routers of the own zone to ask for a request of `tenant`, one after the other; none if this router keeps the
-    /// account.
+    /// Routers of the own zone to ask, one after the other, for a request of `tenant`; none if this
+    /// router owns the account.
     pub fn lenders_in_zone(&self, now: Timestamp, tenant: &TenantName) -> Vec<SocketAddr> {
         let Some(own) = &self.own else {
             return Vec::new();
         };
-        let ranked = self.ranked(now, &own.zone, tenant, ASKED_IN_ZONE);
+        let ranked = self.ranked(now, &own.zone, tenant, MAX_LENDERS_IN_ZONE);
         ranked.into_iter().take_while(|router| *router != own.address).collect()
     }
 
-    /// Owners of `tenant` in the other zones, beginning with the zone after the own one, so that not all routers ask the
-    /// same one first.
+    /// Owners of `tenant` in the other zones, beginning with the zone after the own one, so that
+    /// routers of different zones ask different owners first.
     pub fn lenders_in_other_zones(&self, now: Timestamp, tenant: &TenantName) -> Vec<SocketAddr> {
         let Some(own) = &self.own else {
             return Vec::new();
@@ -84,19 +88,19 @@
         now: Timestamp,
         zone: &ZoneName,
         tenant: &TenantName,
-        most: usize,
+        limit: usize,
     ) -> Vec<SocketAddr> {
         let key = Digest::of(&[tenant.as_str().as_bytes()]).to_u64();
         let routers = self.zones.get(zone).map(Vec::as_slice).unwrap_or_default();
         let mut ranked: Vec<&Candidate> =
-            routers.iter().filter(|router| !self.is_passed_over(now, router.address)).collect();
+            routers.iter().filter(|router| !self.is_unresponsive(now, router.address)).collect();
         ranked.sort_unstable_by_key(|router| {
             std::cmp::Reverse((mix(key ^ router.hash), router.address))
         });
-        ranked.into_iter().take(most).map(|router| router.address).collect()
+        ranked.into_iter().take(limit).map(|router| router.address).collect()
     }
 
-    fn is_passed_over(&self, now: Timestamp, router: SocketAddr) -> bool {
-        self.passed_over_until.get(&router).is_some_and(|until| now < *until)
+    fn is_unresponsive(&self, now: Timestamp, router: SocketAddr) -> bool {
+        self.unresponsive_until.get(&router).is_some_and(|until| now < *until)
     }
 }
--- a/crates/gateway-core/src/backoff.rs
+++ b/crates/gateway-core/src/backoff.rs
@@ -1,118 +1,124 @@
-//! Engines that have asked this router to hold off: to send nothing for a while, or nothing more at all.
+//! Engines that have asked this router to send nothing for some time (backoff), or nothing any more
+//! (leaving).
 //!
-//! An engine that turns a request away may say for how long it wants none, and one that leaves says so in its
-//! answers. Neither is a guess as a failure rate is: it holds for as long as the engine said, whatever it announces
-//! meanwhile, and no such engine is asked for want of another one. Both belong to one life of an engine; the next
-//! life owes nothing to it.
+//! An engine that rejects a request may state for how long it wants none, and one that leaves says
+//! so in its responses. Unlike a failure rate, neither is an estimate: both hold regardless of the
+//! engine's announcements in between, and such an engine is not used even if there is no other.
+//! Both apply to one incarnation of an engine, not to the next.
 //!
-//! When a rest is over nobody knows whether the engine has room again. All that waited would meet it at one moment,
-//! so it is on trial first: one request every [`TRIAL_INTERVAL`], until it takes one.
+//! When a backoff is over, it is not known whether the engine has capacity again, and all waiting
+//! requests would reach it at once. So the engine is probed first: one request every
+//! [`PROBE_INTERVAL`], until it accepts one.
 
 use crate::directory::EngineDirectory;
 use stackpost_types::{BackEndName, Millis, Timestamp};
 use std::collections::{HashMap, HashSet};
 
-/// Time between two requests to an engine whose rest is over, until it has taken one. An engine with room answers
-/// within two round trips and the time of a request, so this is what is sent to one that still has none: ten a second.
-const TRIAL_INTERVAL: Millis = Millis(100);
+/// Time between two requests to an engine after its backoff, until it has accepted one. An engine
+/// with capacity responds within two round trips and the time of a request, so one that still has
+/// none gets at most ten requests per second.
+const PROBE_INTERVAL: Millis = Millis(100);
 
 #[derive(Clone, Copy, Debug)]
-struct Rest {
+struct Backoff {
     until: Timestamp,
-    /// When the last request went to the engine after its rest.
-    tried_at: Option<Timestamp>,
+    /// When the last request after the backoff was sent.
+    probed_at: Option<Timestamp>,
 }
 
-/// What the engines of one router have asked for.
+/// Backoffs and departures that the engines have requested from one router.
 #[derive(Clone, Debug, Default)]
 pub struct BackoffTracker {
-    rests: HashMap<BackEndName, Rest>,
+    backoffs: HashMap<BackEndName, Backoff>,
     leaving: HashSet<BackEndName>,
 }
 
-/// What a wish for rest changed.
+/// How a backoff request changed an engine's backoff.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BackoffChange {
-    /// Whether the engine was not resting before.
+    /// Whether the engine was not backing off before.
     pub begins: bool,
-    /// By how much the rest ends later than was known.
+    /// By how much the backoff ends later than before.
     pub added: Millis,
 }
 
 impl BackoffTracker {
-    /// An engine wants no request for `rest` from now on. Where wishes overlap, the later end counts.
+    /// Records that an engine asks for a backoff of `duration` from now. If it overlaps with an
+    /// earlier one, the later end applies.
     pub fn on_backoff(
         &mut self,
         now: Timestamp,
         engine: &BackEndName,
-        rest: Millis,
+        duration: Millis,
     ) -> BackoffChange {
-        let known = self.rests.get(engine).map_or(now, |known| known.until.max(now));
-        let until = known.max(now + rest);
-        self.rests.insert(engine.clone(), Rest { until, tried_at: None });
+        let known = self.backoffs.get(engine).map_or(now, |known| known.until.max(now));
+        let until = known.max(now + duration);
+        self.backoffs.insert(engine.clone(), Backoff { until, probed_at: None });
         BackoffChange { begins: known == now && until > now, added: until.since(known) }
     }
 
-    /// An engine says that it leaves. Returns whether that is news.
+    /// Records that an engine is leaving. Returns whether that was not known.
     pub fn on_leaving(&mut self, engine: &BackEndName) -> bool {
         self.leaving.insert(engine.clone())
     }
 
-    /// A request goes to an engine.
+    /// Records that a request is sent to an engine.
     pub fn on_sent(&mut self, now: Timestamp, engine: &BackEndName) {
-        if let Some(rest) = self.rests.get_mut(engine) {
-            rest.tried_at = Some(now);
+        if let Some(backoff) = self.backoffs.get_mut(engine) {
+            backoff.probed_at = Some(now);
         }
     }
 
-    /// An engine has taken a request that was sent to it at `sent_at`. What was sent before its rest says nothing
-    /// of the time after it.
+    /// Records that an engine has accepted a request that was sent to it at `sent_at`. It ends the
+    /// probing only if the request was sent after the backoff.
     pub fn on_accepted(&mut self, engine: &BackEndName, sent_at: Timestamp) {
-        if self.rests.get(engine).is_some_and(|rest| sent_at >= rest.until) {
-            self.rests.remove(engine);
+        if self.backoffs.get(engine).is_some_and(|backoff| sent_at >= backoff.until) {
+            self.backoffs.remove(engine);
         }
     }
 
-    /// Whether an engine rests.
+    /// Whether an engine is backing off.
     pub fn is_backing_off(&self, now: Timestamp, engine: &BackEndName) -> bool {
-        self.rests.get(engine).is_some_and(|rest| rest.until > now)
+        self.backoffs.get(engine).is_some_and(|backoff| backoff.until > now)
     }
 
-    /// Whether an engine has asked for rest and taken no request since.
+    /// Whether an engine has requested a backoff and accepted no request after it.
     pub fn is_probing(&self, engine: &BackEndName) -> bool {
-        self.rests.contains_key(engine)
+        self.backoffs.contains_key(engine)
     }
 
-    /// Whether an engine has said that it leaves.
+    /// Whether an engine has said that it is leaving.
     pub fn is_leaving(&self, engine: &BackEndName) -> bool {
         self.leaving.contains(engine)
     }
 
-    /// When an engine may be asked; `now` or earlier if it may be now. One that leaves never may.
+    /// When a request may be sent to an engine; `now` or earlier if it may be now, `None` if the
+    /// engine is leaving.
     pub fn available_from(&self, engine: &BackEndName) -> Option<Timestamp> {
         if self.is_leaving(engine) {
             return None;
         }
-        let Some(rest) = self.rests.get(engine) else {
+        let Some(backoff) = self.backoffs.get(engine) else {
             return Some(Timestamp(0));
         };
-        let next_trial = rest.tried_at.map_or(Timestamp(0), |tried| tried + TRIAL_INTERVAL);
-        Some(rest.until.max(next_trial))
+        let next_probe = backoff.probed_at.map_or(Timestamp(0), |probed| probed + PROBE_INTERVAL);
+        Some(backoff.until.max(next_probe))
     }
 
-    /// Whether an engine may be asked now.
+    /// Whether a request may be sent to an engine now.
     pub fn is_available(&self, now: Timestamp, engine: &BackEndName) -> bool {
         self.available_from(engine).is_some_and(|from| from <= now)
     }
 
-    /// Engines that rest.
+    /// Number of engines that are backing off.
     pub fn resting(&self, now: Timestamp) -> usize {
-        self.rests.values().filter(|rest| rest.until > now).count()
+        self.backoffs.values().filter(|backoff| backoff.until > now).count()
     }
 
-    /// Forgets engines that the directory no longer knows, so that what is kept is bounded by what is known.
+    /// Removes engines that the directory no longer knows, so that the memory is bounded by the
+    /// directory.
     pub fn forget_unknown(&mut self, directory: &EngineDirectory) {
-        self.rests.retain(|engine, _| directory.get(engine).is_some());
+        self.backoffs.retain(|engine, _| directory.get(engine).is_some());
         self.leaving.retain(|engine| directory.get(engine).is_some());
     }
 }
--- a/crates/gateway-core/src/config.rs
+++ b/crates/gateway-core/src/config.rs
@@ -1,81 +1,81 @@
-//! The configuration of a gateway as one typed document.
+//! The configuration of a gateway as a typed document.
 
 use stackpost_types::{Millis, RouteName, ServiceName, TenantName, Tokens};
 use std::collections::{BTreeMap, BTreeSet};
 use thiserror::Error;
 
-/// What may be done with a request again.
+/// Whether a request may be run again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteKind {
     /// May run more than once.
     Idempotent,
     /// Runs at most once.
     NonIdempotent,
-    /// Answers with a series of events.
+    /// Responds with a stream of events.
     Streaming {
-        /// Whether the stream may be taken up at another engine after its last event.
+        /// Whether the stream may be resumed at another engine after its last event.
         resumable: bool,
     },
 }
 
 impl RouteKind {
-    /// Whether a request that may have run may be sent again.
+    /// Whether a request that may already have run may be sent again.
     pub fn may_retry(self) -> bool {
         matches!(self, Self::Idempotent | Self::Streaming { resumable: true })
     }
 
-    /// Whether the answer is a series of events.
+    /// Whether the response is a stream of events.
     pub fn is_streaming(self) -> bool {
         matches!(self, Self::Streaming { .. })
     }
 }
 
-/// One service's part of a route.
+/// A service's share of a route.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Split {
     /// The service.
     pub service: ServiceName,
-    /// Its part, relative to the others.
+    /// Its share, relative to the others.
     pub weight: u64,
 }
 
-/// A rule that sends requests to services.
+/// A rule that maps requests to services.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
     /// Its name.
     pub name: RouteName,
-    /// The host it answers for.
+    /// The host it applies to.
     pub host: String,
-    /// Paths that begin with this text match.
+    /// Prefix of the paths it applies to.
     pub path_prefix: String,
-    /// What may be repeated.
+    /// Whether its requests may be retried.
     pub kind: RouteKind,
-    /// Longest time a request is held.
+    /// Maximum time for a request.
     pub timeout: Millis,
-    /// Time within which an answer is worth its full value.
+    /// Target for the time to the response.
     pub objective: Millis,
-    /// Longest pause between events at which a stream is in time.
+    /// Longest pause between events at which a stream meets its objective.
     pub gap_objective: Option<Millis>,
-    /// Urgency; 0 is the highest.
+    /// Priority; 0 is the highest.
     pub priority: u32,
     /// The services and their weights.
     pub split: Vec<Split>,
-    /// Most engines that one request is sent to.
+    /// Maximum number of engines that one request is sent to.
     pub max_attempts: u32,
     /// Whether no key is needed.
     pub public: bool,
-    /// Whether requests about the same subject gain from the same engine.
+    /// Whether requests about the same subject benefit from the same engine.
     pub sticky: bool,
 }
 
-/// What is known of a service's model engines.
+/// Properties of a service's model engines.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineProfile {
-    /// Requests an engine runs at once.
+    /// Requests an engine runs concurrently.
     pub slots: u32,
-    /// Tokens its memory holds.
+    /// Capacity of an engine's cache, in tokens.
     pub cache_tokens: Tokens,
-    /// Most tokens in one event of a stream.
+    /// Maximum number of tokens in one event of a stream.
     pub tokens_per_event: u64,
 }
 
@@ -88,16 +88,16 @@
     pub engine: Option<EngineProfile>,
 }
 
-/// What clients may do on their connections.
+/// Limits on client connections.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClientLimits {
-    /// Largest block of headers, in bytes.
+    /// Maximum size of the headers, in bytes.
     pub max_header_bytes: usize,
-    /// Largest body, in bytes.
+    /// Maximum size of a body, in bytes.
     pub max_body_bytes: usize,
-    /// Longest time for the headers to come in.
+    /// Maximum time to receive the headers.
     pub header_timeout: Millis,
-    /// Longest rest between requests.
+    /// Maximum idle time between requests.
     pub idle_timeout: Millis,
 }
 
@@ -108,34 +108,34 @@
     pub name: TenantName,
     /// Its bearer keys.
     pub keys: Vec<String>,
-    /// Its urgency, before that of the route.
+    /// Its priority, which overrides that of the route.
     pub priority: Option<u32>,
-    /// Tokens it may be given in all; `None` for no budget.
+    /// Total tokens of its prepaid budget; `None` for no budget.
     pub prepaid: Option<Tokens>,
 }
 
 /// The whole configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RoutingConfig {
-    /// Given by the operator; the highest holds.
+    /// Set by the operator; the highest is in force.
     pub version: u64,
     /// The routes.
     pub routes: Vec<Route>,
     /// The services.
     pub services: BTreeMap<ServiceName, Service>,
-    /// What clients may do.
+    /// The limits for clients.
     pub limits: ClientLimits,
     /// The tenants; `None` if requests need no keys.
     pub tenants: Option<Vec<Tenant>>,
 }
 
-/// Why a configuration is not valid.
+/// Why a configuration is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ConfigError {
-    /// The document can't be read.
+    /// The document can't be parsed.
     #[error("the configuration can't be read: {0}")]
     Unreadable(String),
-    /// A route names a service that does not exist.
+    /// A route refers to a service that does not exist.
     #[error("route `{route}` names the unknown service `{service}`")]
     UnknownService {
         /// The route.
@@ -143,7 +143,7 @@
         /// The service.
         service: ServiceName,
     },
-    /// Two routes answer for the same place.
+    /// Two routes have the same host and prefix.
     #[error("two routes share host `{host}` and prefix `{path_prefix}`")]
     DuplicateRoute {
         /// The host.
@@ -151,10 +151,10 @@
         /// The prefix.
         path_prefix: String,
     },
-    /// A route's weights add up to nothing.
+    /// The weights of a route add up to zero.
     #[error("the weights of route `{0}` add up to 0")]
     ZeroWeight(RouteName),
-    /// A route has no time.
+    /// A route has a timeout of zero.
     #[error("route `{0}` has a timeout of 0")]
     ZeroTimeout(RouteName),
     /// Two tenants have the same key.
@@ -168,7 +168,7 @@
 }
 
 impl RoutingConfig {
-    /// Checks what the types alone do not ensure.
+    /// Checks the rules that the types do not enforce.
     pub fn validate(&self) -> Result<(), ConfigError> {
         let mut places = BTreeSet::new();
         for route in &self.routes {
--- a/crates/gateway-core/src/crash_tracker.rs
+++ b/crates/gateway-core/src/crash_tracker.rs
@@ -1,17 +1,22 @@
-//! What a router knows of requests that end engines: the word of control, and what it saw itself.
+//! One router's view of requests that crash engines: the notices of the control processes and its
+//! own sightings.
 //!
-//! Its own sightings count beside that word because they are there at once, and also while control is out
-//! of reach. They are forgotten soon: a router alone can't tell an engine that ended from a connection
-//! that broke. In touch they count just until the leader has them; from then on its word holds, also where it takes
-//! something back because the engine goes on announcing itself.
+//! Own sightings count in addition to the notices because they are available at once, and also
+//! while the control processes are unreachable. They expire soon: a router alone can't distinguish
+//! a crashed engine from an interrupted connection. While connected to the leader, they count only
+//! until the leader has them; from then on its notice is decisive, including where it revokes a
+//! sighting because the engine continues to announce itself.
 //!
-//! While the leader is out of reach routers tell one another what they see; else each of them would learn alone, at three engines each.
+//! While disconnected from the leader, routers exchange their sightings; otherwise each of them
+//! would lose three engines before it quarantines the request.
 //!
-//! A connection that broke at an engine which still takes connections is no sighting. That engine may be the next life of the
-//! one that broke it, or a listener that outlives its workers; then a newer life is announced, and the sighting counts.
+//! An interrupted connection to an engine that still accepts connections is not a sighting. That
+//! engine may be the next incarnation of the crashed one, or a listener that outlives its workers;
+//! then a newer incarnation is announced, and the sighting counts.
 //!
-//! A request that ends engines never ends well. So one that has of late is no suspect here, whatever is held against
-//! it, and the leader is told: while it was refused, nothing could show its innocence any more.
+//! A request that crashes engines never succeeds. So one that has succeeded recently is no suspect
+//! here, whatever other sightings there are, and the leader is notified: a quarantined request is
+//! rejected and could no longer prove its innocence.
 
 use crate::fingerprint::RequestFingerprint;
 use crate::quarantine::{
@@ -21,218 +26,228 @@
 use stackpost_types::{BackEndName, Millis, Timestamp};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// How long own sightings count. Ten times what a copy of a request took to come again where one ended
-/// an engine a second.
-const OWN_MEMORY: Millis = Millis(10_000);
-/// How long own sightings count in touch: by estimate several times what the way to the leader, its commit and the way
-/// back take, an election of 0.7 s in between included.
-const LEADER_KNOWS_AFTER: Millis = Millis(2_000);
-/// What the leader takes back it has taken back by then: two announcements of an engine (one in 1.2 s), with as much again.
-/// Callers of a request that was quarantined a moment ago, or that ought to be free by now, are told to come again then.
-const TAKEN_BACK_WITHIN: Millis = Millis(5_000);
-/// How long it counts that a request has ended well.
-const WELL_MEMORY: Millis = Millis(10_000);
-/// Requests that ended well that are kept, the newest ones.
-const MOST_ENDED_WELL: usize = 512;
-/// How long they are kept for a leader that can't be reached: longer than a router is cut off as a rule. The
-/// leader passes over engines that have announced themselves since, so an old sighting does no harm.
-const REPORT_MEMORY: Millis = Millis(60_000);
-/// How long a sighting is told again: two or three times at the pace of the router's slow round.
-const TOLD_AGAIN_FOR: Millis = Millis(5_000);
-/// How long a break at an engine that takes connections may still turn out to be its end: some announcements of a life
-/// that has begun at once (one in 1.2 s).
-const DOUBT_MEMORY: Millis = Millis(5_000);
-/// Own sightings kept, the newest ones: several engines full of requests.
-const MOST_SIGHTINGS: usize = 512;
+/// Time for which own sightings count while disconnected from the leader. Ten times the time until
+/// a retry of a request arrived that crashed one engine per second.
+const SIGHTING_TTL: Millis = Millis(10_000);
+/// Time for which own sightings count while connected to the leader: several times the time for the
+/// way to the leader, its commit and the way back, including an election of 0.7 s.
+const CONNECTED_SIGHTING_TTL: Millis = Millis(2_000);
+/// Time within which the leader revokes sightings of engines that still run: two announcements of
+/// an engine (one per 1.2 s), and as much again. Callers of a request that was quarantined less
+/// than this ago, or whose quarantine should be over, are asked to retry after this time.
+const REVOCATION_TIME: Millis = Millis(5_000);
+/// Time for which a success of a request counts.
+const SUCCESS_TTL: Millis = Millis(10_000);
+/// Maximum number of successful requests kept; the newest are kept.
+const MAX_SUCCEEDED: usize = 512;
+/// Time for which sightings are kept for a disconnected leader: longer than most partitions of a
+/// router. The leader ignores engines that have announced themselves since, so an old sighting does
+/// no harm.
+const REPORT_RETENTION: Millis = Millis(60_000);
+/// Time for which a sighting is sent again: two or three times at the interval of the router's slow
+/// periodic task.
+const RESEND_WINDOW: Millis = Millis(5_000);
+/// Time for which an unconfirmed crash of an engine that accepts connections may still be
+/// confirmed: some announcements of an incarnation that has started at once (one per 1.2 s).
+const UNCONFIRMED_TTL: Millis = Millis(5_000);
+/// Maximum number of own sightings kept, the newest ones: several engines full of requests.
+const MAX_SIGHTINGS: usize = 512;
 
-/// What a router tells the leader.
+/// A router's report to the leader.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashReport {
-    /// Engines that ended under requests, each with the time since.
+    /// Crash sightings, each with the time since.
     pub seen: Vec<(CrashSighting, Millis)>,
-    /// Suspected requests that have ended well.
+    /// Suspected requests that have succeeded.
     pub cleared: Vec<RequestFingerprint>,
 }
 
 #[derive(Clone, Debug)]
-struct OwnSighting {
+struct TrackedSighting {
     at: Timestamp,
     sighting: CrashSighting,
-    told: bool,
-    /// Whether this router saw it, or another one told it.
-    seen_here: bool,
-    /// Whether other routers have been told.
-    told_routers: bool,
+    reported: bool,
+    /// Whether this router saw the crash, rather than another one that reported it.
+    observed_locally: bool,
+    /// Whether it has been sent to other routers.
+    sent_to_peers: bool,
 }
 
-/// One router's knowledge.
+/// One router's view.
 #[derive(Clone, Debug, Default)]
 pub struct CrashTracker {
     notice: QuarantineNotice,
-    /// Requests that are let in no more by the word of control, with when this router heard so first.
+    /// Quarantined requests of the notice, with the time at which this router first received them.
     quarantined: BTreeMap<RequestFingerprint, Timestamp>,
-    own: VecDeque<OwnSighting>,
-    /// Breaks at engines that took connections after it, with their times, the oldest first.
-    doubtful: VecDeque<(Timestamp, CrashSighting)>,
+    tracked: VecDeque<TrackedSighting>,
+    /// Crashes of engines that accepted connections afterwards, with their times, the oldest first.
+    unconfirmed: VecDeque<(Timestamp, CrashSighting)>,
     cleared: BTreeSet<RequestFingerprint>,
-    ended_well: VecDeque<(Timestamp, RequestFingerprint)>,
+    succeeded: VecDeque<(Timestamp, RequestFingerprint)>,
 }
 
 impl CrashTracker {
-    /// Whether any request could be quarantined. If not, none needs its fingerprint taken.
+    /// Whether any request could be quarantined. If not, requests need no fingerprint.
     pub fn has_quarantine_candidates(&self) -> bool {
-        !self.notice.quarantined.is_empty() || self.own.len() >= CRASHES_TO_QUARANTINE
+        !self.notice.quarantined.is_empty() || self.tracked.len() >= CRASHES_TO_QUARANTINE
     }
 
-    /// Whether any request is under suspicion. If not, none needs to be cleared.
+    /// Whether any request is suspected. If not, none needs to be cleared.
     pub fn has_suspects(&self) -> bool {
         let notice = &self.notice;
-        let told = !(notice.quarantined.is_empty() && notice.suspected.is_empty());
-        told || !self.own.is_empty() || !self.doubtful.is_empty()
+        let has_listed = !(notice.quarantined.is_empty() && notice.suspected.is_empty());
+        has_listed || !self.tracked.is_empty() || !self.unconfirmed.is_empty()
     }
 
-    /// Whether a request is let in no more.
+    /// Whether a request is quarantined.
     pub fn is_quarantined(
         &mut self,
         now: Timestamp,
         request: &RequestFingerprint,
-        in_touch: bool,
+        is_connected: bool,
     ) -> bool {
-        self.quarantine_remaining(now, request, in_touch).is_some()
+        self.quarantine_remaining(now, request, is_connected).is_some()
     }
 
-    /// After how long another try of a request that is let in no more makes sense; `None` if it is let in.
+    /// Time after which the caller of a quarantined request should retry; `None` if it is not
+    /// quarantined.
     pub fn quarantine_remaining(
         &mut self,
         now: Timestamp,
         request: &RequestFingerprint,
-        in_touch: bool,
+        is_connected: bool,
     ) -> Option<Millis> {
-        self.forget_old(now);
-        if self.ended_well_lately(now, request) {
+        self.remove_expired(now);
+        if self.succeeded_recently(now, request) {
             return None;
         }
         let Some(since) = self.quarantined.get(request) else {
-            return self.own_quarantine_left(now, request, in_touch);
+            return self.own_quarantine_remaining(now, request, is_connected);
         };
-        let lasted = now.since(*since);
-        if lasted < TAKEN_BACK_WITHIN {
-            return Some(TAKEN_BACK_WITHIN);
+        let elapsed = now.since(*since);
+        if elapsed < REVOCATION_TIME {
+            return Some(REVOCATION_TIME);
         }
-        Some(Millis(INITIAL_QUARANTINE.0.saturating_sub(lasted.0)).max(TAKEN_BACK_WITHIN))
+        Some(Millis(INITIAL_QUARANTINE.0.saturating_sub(elapsed.0)).max(REVOCATION_TIME))
     }
 
-    /// The same by this router's own sightings.
-    fn own_quarantine_left(
+    /// The remaining quarantine by this router's own sightings.
+    fn own_quarantine_remaining(
         &self,
         now: Timestamp,
         request: &RequestFingerprint,
-        in_touch: bool,
+        is_connected: bool,
     ) -> Option<Millis> {
-        let counts_for = if in_touch { LEADER_KNOWS_AFTER } else { OWN_MEMORY };
-        let of_request = self.own.iter().filter(|own| own.sighting.request == *request);
-        let newest: BTreeMap<_, _> = of_request.map(|own| (&own.sighting.engine, own.at)).collect();
+        let ttl = if is_connected { CONNECTED_SIGHTING_TTL } else { SIGHTING_TTL };
+        let of_request = self.tracked.iter().filter(|tracked| tracked.sighting.request == *request);
+        let newest: BTreeMap<_, _> =
+            of_request.map(|tracked| (&tracked.sighting.engine, tracked.at)).collect();
         let mut times: Vec<Timestamp> = newest.into_values().collect();
         times.sort_unstable();
         let deciding = times.iter().rev().nth(CRASHES_TO_QUARANTINE - 1)?;
-        let left = counts_for.0.checked_sub(now.since(*deciding).0)?;
-        (left > 0).then_some(Millis(left))
+        let remaining = ttl.0.checked_sub(now.since(*deciding).0)?;
+        (remaining > 0).then_some(Millis(remaining))
     }
 
-    /// A connection ended while an engine ran a request.
+    /// Records that an engine crashed while it ran a request.
     pub fn on_engine_crash(&mut self, now: Timestamp, sighting: CrashSighting) {
-        self.forget_old(now);
-        if self.ended_well_lately(now, &sighting.request) {
+        self.remove_expired(now);
+        if self.succeeded_recently(now, &sighting.request) {
             return;
         }
-        if self.own.len() >= MOST_SIGHTINGS {
-            self.own.pop_front();
+        if self.tracked.len() >= MAX_SIGHTINGS {
+            self.tracked.pop_front();
         }
         self.cleared.remove(&sighting.request);
-        self.own.push_back(OwnSighting {
+        self.tracked.push_back(TrackedSighting {
             at: now,
             sighting,
-            told: false,
-            seen_here: true,
-            told_routers: false,
+            reported: false,
+            observed_locally: true,
+            sent_to_peers: false,
         });
     }
 
-    /// Another router that can't reach the leader has seen engines end so long ago. Whoever saw it tells the leader.
+    /// Merges sightings of another router that is disconnected from the leader, with their ages.
+    /// Only the router that saw a crash reports it to the leader.
     pub fn on_peer_sightings(&mut self, now: Timestamp, seen: Vec<(CrashSighting, Millis)>) {
-        self.forget_old(now);
+        self.remove_expired(now);
         for (sighting, age) in seen {
-            let is_known = self.own.iter().any(|own| own.sighting == sighting);
+            let is_known = self.tracked.iter().any(|tracked| tracked.sighting == sighting);
             let at = Timestamp(now.0.saturating_sub(age.0));
-            if is_known || age >= OWN_MEMORY || self.ended_well_lately(now, &sighting.request) {
+            if is_known || age >= SIGHTING_TTL || self.succeeded_recently(now, &sighting.request) {
                 continue;
             }
-            if self.own.len() >= MOST_SIGHTINGS {
-                self.own.pop_front();
+            if self.tracked.len() >= MAX_SIGHTINGS {
+                self.tracked.pop_front();
             }
-            self.own.push_back(OwnSighting {
+            self.tracked.push_back(TrackedSighting {
                 at,
                 sighting,
-                told: true,
-                seen_here: false,
-                told_routers: true,
+                reported: true,
+                observed_locally: false,
+                sent_to_peers: true,
             });
         }
     }
 
-    /// What other routers have not been told while the leader can't be reached. Counts as told.
+    /// Sightings that have not been sent to other routers while disconnected from the leader.
+    /// Counts as sent.
     pub fn take_peer_sightings(&mut self, now: Timestamp) -> Vec<(CrashSighting, Millis)> {
-        let mut news = Vec::new();
-        for own in self.own.iter_mut().filter(|own| !own.told_routers) {
-            own.told_routers = true;
-            let age = now.since(own.at);
-            if age < OWN_MEMORY {
-                news.push((own.sighting.clone(), age));
+        let mut sightings = Vec::new();
+        for tracked in self.tracked.iter_mut().filter(|tracked| !tracked.sent_to_peers) {
+            tracked.sent_to_peers = true;
+            let age = now.since(tracked.at);
+            if age < SIGHTING_TTL {
+                sightings.push((tracked.sighting.clone(), age));
             }
         }
-        news
+        sightings
     }
 
-    /// A connection broke while an engine ran a request, and the engine still takes connections.
+    /// Records that a connection was interrupted while an engine ran a request, and that the engine
+    /// still accepts connections.
     pub fn on_unconfirmed_crash(&mut self, now: Timestamp, sighting: CrashSighting) {
-        self.forget_old(now);
-        if self.doubtful.len() >= MOST_SIGHTINGS {
-            self.doubtful.pop_front();
+        self.remove_expired(now);
+        if self.unconfirmed.len() >= MAX_SIGHTINGS {
+            self.unconfirmed.pop_front();
         }
-        self.doubtful.push_back((now, sighting));
+        self.unconfirmed.push_back((now, sighting));
     }
 
-    /// A life of an engine has begun, so those before it have ended. Returns whether that ended one under a request.
+    /// Records that an incarnation of an engine has started, so that the earlier ones have ended.
+    /// Returns whether this confirms a crash.
     pub fn on_incarnation_started(&mut self, now: Timestamp, engine: &BackEndName) -> bool {
-        self.forget_old(now);
-        let is_former = |(_, seen): &(Timestamp, CrashSighting)| {
+        self.remove_expired(now);
+        let is_older = |(_, seen): &(Timestamp, CrashSighting)| {
             seen.engine.id() == engine.id() && seen.engine.started_at_ms() < engine.started_at_ms()
         };
-        let doubtful = std::mem::take(&mut self.doubtful);
-        let (ended, left): (VecDeque<_>, VecDeque<_>) = doubtful.into_iter().partition(is_former);
-        self.doubtful = left;
-        let is_news = !ended.is_empty();
+        let unconfirmed = std::mem::take(&mut self.unconfirmed);
+        let (ended, remaining): (VecDeque<_>, VecDeque<_>) =
+            unconfirmed.into_iter().partition(is_older);
+        self.unconfirmed = remaining;
+        let is_confirmed = !ended.is_empty();
         ended.into_iter().for_each(|(_, sighting)| self.on_engine_crash(now, sighting));
-        is_news
+        is_confirmed
     }
 
-    /// A request has ended well, so it does not end engines.
+    /// Records that a request has succeeded, so that it does not crash engines.
     pub fn on_request_succeeded(&mut self, now: Timestamp, request: &RequestFingerprint) {
-        self.ended_well.retain(|(_, ended)| ended != request);
-        if self.ended_well.len() >= MOST_ENDED_WELL {
-            self.ended_well.pop_front();
+        self.succeeded.retain(|(_, ended)| ended != request);
+        if self.succeeded.len() >= MAX_SUCCEEDED {
+            self.succeeded.pop_front();
         }
-        self.ended_well.push_back((now, *request));
-        self.doubtful.retain(|(_, seen)| seen.request != *request);
-        let before = self.own.len();
-        self.own.retain(|own| own.sighting.request != *request);
-        if before > self.own.len() || self.notice.includes(request) {
+        self.succeeded.push_back((now, *request));
+        self.unconfirmed.retain(|(_, seen)| seen.request != *request);
+        let before = self.tracked.len();
+        self.tracked.retain(|tracked| tracked.sighting.request != *request);
+        if before > self.tracked.len() || self.notice.includes(request) {
             self.cleared.insert(*request);
         }
     }
 
-    /// Takes in the word of a control process, unless a newer one is known. Returns whether the leader should hear
-    /// of a request named there that has ended well here.
+    /// Stores the notice of a control process, unless a newer one is known. Returns whether the
+    /// leader should be notified of a listed request that has succeeded here.
     pub fn on_notice(&mut self, now: Timestamp, notice: QuarantineNotice) -> bool {
         if notice.revision < self.notice.revision {
             return false;
@@ -240,59 +255,64 @@
         self.notice = notice;
         let before = std::mem::take(&mut self.quarantined);
         let since = |request: &RequestFingerprint| before.get(request).copied().unwrap_or(now);
-        let named = self.notice.quarantined.iter();
-        self.quarantined = named.map(|request| (*request, since(request))).collect();
-        let named = |request: &&RequestFingerprint| {
-            self.notice.includes(request) && self.ended_well_lately(now, request)
+        let listed = self.notice.quarantined.iter();
+        self.quarantined = listed.map(|request| (*request, since(request))).collect();
+        let listed = |request: &&RequestFingerprint| {
+            self.notice.includes(request) && self.succeeded_recently(now, request)
         };
-        let ended_well = self.ended_well.iter().map(|(_, request)| request);
-        let innocent: Vec<RequestFingerprint> = ended_well.filter(named).copied().collect();
-        self.cleared.extend(&innocent);
-        !innocent.is_empty()
+        let succeeded = self.succeeded.iter().map(|(_, request)| request);
+        let newly_cleared: Vec<RequestFingerprint> = succeeded.filter(listed).copied().collect();
+        self.cleared.extend(&newly_cleared);
+        !newly_cleared.is_empty()
     }
 
-    fn ended_well_lately(&self, now: Timestamp, request: &RequestFingerprint) -> bool {
-        let lately = self.ended_well.iter().filter(|(at, _)| now.since(*at) < WELL_MEMORY);
-        lately.map(|(_, ended)| ended).any(|ended| ended == request)
+    fn succeeded_recently(&self, now: Timestamp, request: &RequestFingerprint) -> bool {
+        let recent = self.succeeded.iter().filter(|(at, _)| now.since(*at) < SUCCESS_TTL);
+        recent.map(|(_, ended)| ended).any(|ended| ended == request)
     }
 
-    /// Requests that are let in no more, by the word of control.
+    /// Number of quarantined requests by the notice of the control processes.
     pub fn quarantined(&self) -> usize {
         self.notice.quarantined.len()
     }
 
-    /// What the leader has not been told, if anything. Counts as told.
+    /// The report of what has not been sent to the leader, if anything. Counts as sent.
     pub fn take_report(&mut self, now: Timestamp) -> Option<CrashReport> {
-        let untold = self.own.iter().filter(|own| !own.told);
-        let seen: Vec<_> = untold.map(|own| (own.sighting.clone(), now.since(own.at))).collect();
-        self.own.iter_mut().for_each(|own| own.told = true);
+        let unreported = self.tracked.iter().filter(|tracked| !tracked.reported);
+        let seen: Vec<_> =
+            unreported.map(|tracked| (tracked.sighting.clone(), now.since(tracked.at))).collect();
+        self.tracked.iter_mut().for_each(|tracked| tracked.reported = true);
         let cleared: Vec<_> = std::mem::take(&mut self.cleared).into_iter().collect();
-        let is_news = !seen.is_empty() || !cleared.is_empty();
-        is_news.then_some(CrashReport { seen, cleared })
+        let has_unsent = !seen.is_empty() || !cleared.is_empty();
+        has_unsent.then_some(CrashReport { seen, cleared })
     }
 
-    /// Another control process leads; the one before may not have passed on what it was told.
+    /// Marks all own sightings as unsent: the previous leader may not have committed them.
     pub fn on_new_leader(&mut self, now: Timestamp) {
-        self.forget_old(now);
-        self.own.iter_mut().filter(|own| own.seen_here).for_each(|own| own.told = false);
+        self.remove_expired(now);
+        self.tracked
+            .iter_mut()
+            .filter(|tracked| tracked.observed_locally)
+            .for_each(|tracked| tracked.reported = false);
     }
 
-    /// A report may be lost with a queue that was full. What is still new is told once more.
+    /// Marks recent own sightings as unsent: a report may be lost because a queue was full.
     pub fn resend_recent(&mut self, now: Timestamp) {
-        let is_new = |own: &&mut OwnSighting| now.since(own.at) < TOLD_AGAIN_FOR;
-        let seen_here = self.own.iter_mut().filter(|own| own.seen_here);
-        seen_here.filter(is_new).for_each(|own| own.told = false);
+        let is_new = |tracked: &&mut TrackedSighting| now.since(tracked.at) < RESEND_WINDOW;
+        let observed_locally = self.tracked.iter_mut().filter(|tracked| tracked.observed_locally);
+        observed_locally.filter(is_new).for_each(|tracked| tracked.reported = false);
     }
 
-    fn forget_old(&mut self, now: Timestamp) {
-        while self.own.front().is_some_and(|own| now.since(own.at) >= REPORT_MEMORY) {
-            self.own.pop_front();
+    fn remove_expired(&mut self, now: Timestamp) {
+        while self.tracked.front().is_some_and(|tracked| now.since(tracked.at) >= REPORT_RETENTION)
+        {
+            self.tracked.pop_front();
         }
-        while self.doubtful.front().is_some_and(|(at, _)| now.since(*at) >= DOUBT_MEMORY) {
-            self.doubtful.pop_front();
+        while self.unconfirmed.front().is_some_and(|(at, _)| now.since(*at) >= UNCONFIRMED_TTL) {
+            self.unconfirmed.pop_front();
         }
-        while self.ended_well.front().is_some_and(|(at, _)| now.since(*at) >= WELL_MEMORY) {
-            self.ended_well.pop_front();
+        while self.succeeded.front().is_some_and(|(at, _)| now.since(*at) >= SUCCESS_TTL) {
+            self.succeeded.pop_front();
         }
     }
 }
--- a/crates/gateway-core/src/departures.rs
+++ b/crates/gateway-core/src/departures.rs
@@ -1,36 +1,39 @@
-//! What engines have said of their end, as all control replicas agree on it.
+//! Departures of engines, replicated to all control replicas.
 //!
-//! An engine is told that its leaving is known, and calls nobody again. So its word must outlive whoever took it in,
-//! and every process that comes later must hear of it.
+//! An engine whose leave call was acknowledged makes no other. So its departure must outlive the
+//! process that received it, and every process that starts later must receive it.
 //!
-//! Invariants: a life of an engine that has left stays gone; otherwise the word with the higher count holds. A change
-//! raises the revision by one, so equal revisions mean equal words. At most [`MAX_DEPARTURES`] words are kept. Without I/O
-//! and clock, so that replicas that take in the same changes in the same order hold the same state.
+//! Invariants: an incarnation that has left stays gone; otherwise the record with the higher
+//! sequence number is in force. A change increases the revision by one, so equal revisions mean
+//! equal records. At most [`MAX_DEPARTURES`] records are kept. There is no I/O and no clock, so
+//! that replicas that apply the same changes in the same order hold the same state.
 
 use crate::engine_notice::EngineState;
 use serde::{Deserialize, Serialize};
 use stackpost_types::{BackEndName, Millis, Timestamp};
 use std::collections::BTreeMap;
 
-/// Words kept; the oldest go first. Several times the engines of a large fleet; with names about 400 KB.
+/// Maximum number of records kept; the oldest are evicted first. Several times the engines of a
+/// large fleet; with names about 400 KB.
 pub const MAX_DEPARTURES: usize = 4_096;
 
-/// How long a process that follows keeps words that it is told of no more: longer than the replicas do.
-const FOLLOWED_TIME: Millis = Millis(360_000);
+/// Time for which a follower keeps records that it no longer receives: longer than the replicas do.
+const FOLLOWER_RETENTION: Millis = Millis(360_000);
 
-/// What an engine says of its end.
+/// A change of an engine's state when it drains or leaves.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DepartureRecord {
-    /// The engine: one life of it.
+    /// The engine's incarnation.
     pub engine: BackEndName,
-    /// `Draining` or `Gone`; `Ready` if it takes work again after it had said `Draining`.
+    /// `Draining` or `Gone`; `Ready` if it accepts requests again after `Draining`.
     pub state: EngineState,
-    /// Its count of announcements. What has left is gone whatever the count.
+    /// The sequence number of its announcement. An engine that has left is gone whatever the
+    /// number.
     pub sequence: u64,
 }
 
 impl DepartureRecord {
-    /// Whether this word changes anything where `held` holds.
+    /// Whether this record changes anything where `held` is in force.
     fn is_newer_than(&self, held: &Self) -> bool {
         match (held.state, self.state) {
             (EngineState::Gone, _) => false,
@@ -40,119 +43,119 @@
     }
 }
 
-/// One change of what is held.
+/// One change of the records.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DepartureChange {
-    /// Engines have said something of their end.
+    /// Engines have announced departures.
     Announced(Vec<DepartureRecord>),
-    /// These engines left long ago.
+    /// These engines left a long time ago.
     Expired(Vec<BackEndName>),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct HeldWord {
-    word: DepartureRecord,
-    /// The revision that brought it.
+struct VersionedRecord {
+    record: DepartureRecord,
+    /// The revision that added it.
     revision: u64,
 }
 
-/// The words that hold.
+/// The records in force.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Departures {
-    records: BTreeMap<BackEndName, HeldWord>,
+    records: BTreeMap<BackEndName, VersionedRecord>,
     revision: u64,
 }
 
-/// Changes of [`Departures`], for a process that follows.
+/// Changes of [`Departures`] between two revisions, for a follower.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DepartureDelta {
-    /// The revision after which the changes begin.
+    /// The revision that the delta applies to.
     pub base: u64,
-    /// The revision up to which they go.
+    /// The revision after the delta.
     pub revision: u64,
-    /// The words that hold since.
+    /// The records added or changed in between.
     pub records: Vec<DepartureRecord>,
 }
 
 impl Departures {
-    /// Rises with each change; equal for equal contents.
+    /// Increases with each change; equal revisions mean equal contents.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Whether a word would change anything.
-    pub fn would_change(&self, word: &DepartureRecord) -> bool {
-        match self.records.get(&word.engine) {
-            Some(held) => word.is_newer_than(&held.word),
-            // An engine of which nothing is held takes work.
-            None => word.state != EngineState::Ready,
+    /// Whether a record would change anything.
+    pub fn would_change(&self, record: &DepartureRecord) -> bool {
+        match self.records.get(&record.engine) {
+            Some(held) => record.is_newer_than(&held.record),
+            // An engine without a record accepts requests.
+            None => record.state != EngineState::Ready,
         }
     }
 
-    /// Whether a word holds, or a newer one of the same engine.
-    pub fn covers(&self, word: &DepartureRecord) -> bool {
-        self.records.contains_key(&word.engine) && !self.would_change(word)
+    /// Whether a record is in force, or a newer one of the same engine.
+    pub fn covers(&self, record: &DepartureRecord) -> bool {
+        self.records.contains_key(&record.engine) && !self.would_change(record)
     }
 
-    /// Takes in a change. Returns whether anything is different.
+    /// Applies a change. Returns whether anything is different.
     pub fn apply(&mut self, change: DepartureChange) -> bool {
         let before = self.revision;
         match change {
             DepartureChange::Announced(records) => {
-                records.into_iter().for_each(|word| self.say(word))
+                records.into_iter().for_each(|record| self.insert(record))
             }
             DepartureChange::Expired(engines) => {
-                engines.iter().for_each(|engine| self.forget(engine));
+                engines.iter().for_each(|engine| self.remove(engine));
             }
         }
         self.revision != before
     }
 
-    /// What has changed after revision `base`. Words that were forgotten are not told: whoever follows forgets by its
-    /// own clock.
+    /// The changes after revision `base`. Removed records are not included: followers remove them
+    /// by their own clock.
     pub fn since(&self, base: u64) -> DepartureDelta {
         let newer = self.records.values().filter(|held| held.revision > base);
-        let records = newer.map(|held| held.word.clone()).collect();
+        let records = newer.map(|held| held.record.clone()).collect();
         DepartureDelta { base, revision: self.revision, records }
     }
 
-    /// The word that holds for an engine.
+    /// The record in force for an engine.
     pub fn get(&self, engine: &BackEndName) -> Option<&DepartureRecord> {
-        self.records.get(engine).map(|held| &held.word)
+        self.records.get(engine).map(|held| &held.record)
     }
 
-    /// The engines with a word, and the revision that brought it.
+    /// The engines with a record, each with the revision that added it.
     pub fn revisions(&self) -> impl Iterator<Item = (&BackEndName, u64)> {
         self.records.iter().map(|(engine, held)| (engine, held.revision))
     }
 
-    fn say(&mut self, word: DepartureRecord) {
-        if !self.would_change(&word) {
+    fn insert(&mut self, record: DepartureRecord) {
+        if !self.would_change(&record) {
             return;
         }
-        if !self.records.contains_key(&word.engine) && self.records.len() >= MAX_DEPARTURES {
-            self.forget_oldest();
+        if !self.records.contains_key(&record.engine) && self.records.len() >= MAX_DEPARTURES {
+            self.evict_oldest();
         }
         self.revision += 1;
-        let held = HeldWord { revision: self.revision, word };
-        self.records.insert(held.word.engine.clone(), held);
+        let held = VersionedRecord { revision: self.revision, record };
+        self.records.insert(held.record.engine.clone(), held);
     }
 
-    fn forget(&mut self, engine: &BackEndName) {
+    fn remove(&mut self, engine: &BackEndName) {
         if self.records.remove(engine).is_some() {
             self.revision += 1;
         }
     }
 
-    fn forget_oldest(&mut self) {
+    fn evict_oldest(&mut self) {
         let oldest = self.records.values().min_by_key(|held| held.revision);
-        if let Some(engine) = oldest.map(|held| held.word.engine.clone()) {
+        if let Some(engine) = oldest.map(|held| held.record.engine.clone()) {
             self.records.remove(&engine);
         }
     }
 }
 
-/// The words that a process knows which follows what is written down, and how far it is.
+/// The committed records known to a follower, and the revision it has reached.
 #[derive(Clone, Debug, Default)]
 pub struct KnownDepartures {
     records: BTreeMap<BackEndName, (DepartureRecord, Timestamp)>,
@@ -165,33 +168,34 @@
         self.revision
     }
 
-    /// Takes in changes. What does not build on what is known counts, but leaves a gap that is to be told again.
-    pub fn merge_delta(&mut self, now: Timestamp, news: &DepartureDelta) {
-        for word in &news.records {
-            if self.would_change(word) {
-                self.records.insert(word.engine.clone(), (word.clone(), now));
+    /// Merges a delta. If it does not connect to the known revision, its records apply but the
+    /// revision stays, so that the missing changes are sent again.
+    pub fn merge_delta(&mut self, now: Timestamp, delta: &DepartureDelta) {
+        for record in &delta.records {
+            if self.would_change(record) {
+                self.records.insert(record.engine.clone(), (record.clone(), now));
             }
         }
-        if news.base <= self.revision {
-            self.revision = self.revision.max(news.revision);
+        if delta.base <= self.revision {
+            self.revision = self.revision.max(delta.revision);
         }
     }
 
-    /// Whether a word would change anything.
-    pub fn would_change(&self, word: &DepartureRecord) -> bool {
-        match self.records.get(&word.engine) {
-            Some((held, _)) => word.is_newer_than(held),
-            None => word.state != EngineState::Ready,
+    /// Whether a record would change anything.
+    pub fn would_change(&self, record: &DepartureRecord) -> bool {
+        match self.records.get(&record.engine) {
+            Some((held, _)) => record.is_newer_than(held),
+            None => record.state != EngineState::Ready,
         }
     }
 
-    /// Whether a word is written down, or a newer one of the same engine.
-    pub fn covers(&self, word: &DepartureRecord) -> bool {
-        self.records.contains_key(&word.engine) && !self.would_change(word)
+    /// Whether a record is committed, or a newer one of the same engine.
+    pub fn covers(&self, record: &DepartureRecord) -> bool {
+        self.records.contains_key(&record.engine) && !self.would_change(record)
     }
 
-    /// Forgets words of long ago.
+    /// Removes records received a long time ago.
     pub fn forget_old(&mut self, now: Timestamp) {
-        self.records.retain(|_, (_, since)| now.since(*since) < FOLLOWED_TIME);
+        self.records.retain(|_, (_, received_at)| now.since(*received_at) < FOLLOWER_RETENTION);
     }
 }
--- a/crates/gateway-core/src/engine_notice.rs
+++ b/crates/gateway-core/src/engine_notice.rs
@@ -1,22 +1,22 @@
-//! What engines announce, and what processes tell one another of it.
+//! Announcements of engines, and how processes pass them on to one another.
 
 use serde::{Deserialize, Serialize};
 use stackpost_types::{BackEndName, Millis, ServiceName, ZoneName};
 use std::net::SocketAddr;
 
-/// What an engine says about taking work.
+/// Whether an engine accepts requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum EngineState {
-    /// It takes work.
+    /// It accepts requests.
     Ready,
-    /// It finishes what it has.
+    /// It finishes its running requests and accepts no new ones.
     Draining,
     /// It has left.
     Gone,
 }
 
 impl EngineState {
-    /// The state as it stands in logs.
+    /// The state as written in logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Ready => "ready",
@@ -29,28 +29,29 @@
 /// One announcement of an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineNotice {
-    /// The engine: one life of it.
+    /// The engine's incarnation.
     pub engine: BackEndName,
-    /// Rises with each announcement of the same engine.
+    /// Increases with each announcement of the same incarnation.
     pub sequence: u64,
     /// The service it belongs to.
     pub service: ServiceName,
-    /// Where it is reached.
+    /// The address at which it accepts connections.
     pub address: SocketAddr,
-    /// The zone it stands in.
+    /// The zone it runs in.
     pub zone: ZoneName,
-    /// Requests it handles at once.
+    /// Requests it handles concurrently.
     pub slots: u32,
-    /// Whether it takes work.
+    /// Whether it accepts requests.
     pub state: EngineState,
-    /// Time since it was announced, by the clock of whoever passes it on.
+    /// Time since it was announced, by the clock of the process that passes it on.
     pub age: Millis,
-    /// Time since this life was first heard of, by the clock of whoever passes it on; zero from the engine itself.
+    /// Time since this incarnation became known, by the clock of the process that passes it on;
+    /// zero in a notice from the engine itself.
     pub known_for: Millis,
 }
 
 impl EngineNotice {
-    /// Stands for an engine of which only the name is known.
+    /// A placeholder for an engine of which only the name is known.
     pub fn name_only(engine: &BackEndName) -> Self {
         Self {
             engine: engine.clone(),
@@ -65,25 +66,25 @@
         }
     }
 
-    /// Whether no more is known of the engine than its name.
+    /// Whether only the engine's name is known.
     pub fn is_name_only(&self) -> bool {
         self.address.ip().is_unspecified()
     }
 }
 
-/// What a notice changed.
+/// Result of merging a notice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MergeOutcome {
-    /// Nothing: it was old.
+    /// The notice is older than what is known; nothing changed.
     Stale,
-    /// The engine is still what it was.
+    /// The engine's state is unchanged.
     Refreshed,
-    /// The engine is new or has changed its state.
+    /// The engine is new or its state has changed.
     Changed,
 }
 
 impl MergeOutcome {
-    /// The change as it stands in logs and figures.
+    /// The outcome as written in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Stale => "old",
@@ -93,13 +94,13 @@
     }
 }
 
-/// Changes of an [`crate::EngineDirectory`], for a process that follows.
+/// Changes of an [`crate::EngineDirectory`] between two revisions, for a follower.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DirectoryDelta {
-    /// The revision after which the changes begin.
+    /// The revision that the delta applies to.
     pub base: u64,
-    /// The revision up to which they go.
+    /// The revision after the delta.
     pub revision: u64,
-    /// The engines that have changed since.
+    /// The engines that have changed in between.
     pub notices: Vec<EngineNotice>,
 }
--- a/crates/gateway-core/src/engine_permits.rs
+++ b/crates/gateway-core/src/engine_permits.rs
@@ -1,15 +1,19 @@
-//! Whether a request may be sent to an engine, by what the engine states that it takes: slots and a rate.
+//! Whether a request may be sent to an engine, by the limits that the engine states: slots and a
+//! rate.
 //!
-//! Both are meant for all routers together. Slots are dealt out one by one ([`SlotShares`]); a rate of one or two a second can't be
-//! dealt out among many routers, each of which needs a whole request at hand. So each engine that states a rate has one
-//! *owner*, a router chosen by rendezvous hashing over all routers that control hears, and only the owner's bucket lets
-//! requests go. Others ask it for a permit. A rate is spent, not returned; while an engine states one, its slots are the
-//! owner's, too, so that one permit covers both.
+//! Both limits hold for all routers together. Slots are assigned to routers one by one
+//! ([`SlotShares`]). A rate of one or two requests per second can't be divided among many routers,
+//! because each of them needs permits for whole requests. So each engine that states a rate has one
+//! *owner*, a router chosen by rendezvous hashing over all routers that control processes report,
+//! and only the owner's token bucket issues permits; other routers ask the owner for one. A permit
+//! for a rate is consumed, not returned. While an engine states a rate, its slots belong to the
+//! owner as well, so that one permit covers both.
 //!
 //! Invariants:
 //! - A router that does not know the other routers owns no engine.
-//! - An owner begins with an empty bucket, whoever owned the engine before: two owners that follow each other let no
-//!   more go than one does. While routers differ over who is there, both may let go what accrues meanwhile.
+//! - An owner starts with an empty bucket, whichever router owned the engine before: two
+//!   consecutive owners issue no more permits than one would. While routers disagree about which
+//!   routers run, both may issue the permits that accrue meanwhile.
 
 use crate::directory::{EngineDirectory, EngineRecord};
 use crate::hashing::mix;
@@ -29,38 +33,38 @@
     RateAndSlot,
 }
 
-/// What a request for a service can expect, as far as its engines state what they take.
+/// Whether requests for a service can get a permit, by the limits that its engines state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PermitAvailability {
-    /// An engine states no rate.
+    /// At least one engine states no rate.
     Unlimited,
-    /// Every engine states a rate, and a permit may be had.
+    /// Every engine states a rate, and a permit is available.
     Available,
-    /// Every engine states a rate, and all of it is spent.
+    /// Every engine states a rate, and no permit is available.
     Spent {
         /// Time until the first permit.
         soonest: Millis,
-        /// The engine that it is for.
+        /// The engine that this permit is for.
         engine: BackEndName,
     },
 }
 
-/// One router's view.
+/// One router's view of the permits.
 #[derive(Clone, Debug)]
 pub struct EnginePermits {
     slots: SlotShares,
     rates: StatedRates,
     /// Buckets of the engines that this router owns.
     buckets: HashMap<BackEndName, RateBucket>,
-    /// Owners as worked out for the routers that are known now.
+    /// Owners computed from the currently known routers.
     owners: HashMap<BackEndName, SocketAddr>,
-    /// Until when other owners have nothing to give, by their own word.
+    /// Until when other owners have no permits to issue, as they have reported.
     spent_until: HashMap<(SocketAddr, ServiceName), Timestamp>,
     knows_routers: bool,
 }
 
 impl EnginePermits {
-    /// For the router that others know by `own`.
+    /// Creates the view of the router with the address `own`.
     pub fn new(own: SocketAddr) -> Self {
         Self {
             slots: SlotShares::new(own),
@@ -72,7 +76,7 @@
         }
     }
 
-    /// Takes over which other routers there are.
+    /// Sets the other running routers.
     pub fn set_others(&mut self, now: Timestamp, others: &[SocketAddr]) {
         let knew_routers = std::mem::replace(&mut self.knows_routers, true);
         if !self.slots.set_others(others) && knew_routers {
@@ -90,45 +94,45 @@
         self.spent_until.retain(|(owner, _), _| others.contains(owner));
     }
 
-    /// Slots, and which other routers there are.
+    /// The slot shares and the other routers.
     pub fn slots(&mut self) -> &mut SlotShares {
         &mut self.slots
     }
 
-    /// What engines state.
+    /// The rates that engines state.
     pub fn rates(&self) -> &StatedRates {
         &self.rates
     }
 
-    /// What engines state, to be told to others.
+    /// The rates that engines state, for exchanging updates with other routers.
     pub fn rates_mut(&mut self) -> &mut StatedRates {
         &mut self.rates
     }
 
-    /// Takes in what the answer to a request that was sent at `asked_at` says of a rate.
+    /// Records the rate stated in the response to a request that was sent at `sent_at`.
     pub fn learn(
         &mut self,
         now: Timestamp,
         engine: &BackEndName,
-        asked_at: Timestamp,
+        sent_at: Timestamp,
         statement: RateStatement,
     ) -> Option<RateChange> {
-        let change = self.rates.learn(engine, asked_at, statement)?;
-        self.on_change(now, engine, change);
+        let change = self.rates.learn(engine, sent_at, statement)?;
+        self.on_rate_change(now, engine, change);
         Some(change)
     }
 
-    /// Takes in what another router has heard of a rate.
-    pub fn learn_from_peer(&mut self, now: Timestamp, news: &RateUpdate) -> Option<RateChange> {
-        let change = self.rates.learn_from_peer(now, news)?;
-        self.on_change(now, &news.engine, change);
-        if self.owns(&news.engine) {
-            self.rates.schedule_update(&news.engine);
+    /// Merges a rate update from another router.
+    pub fn learn_from_peer(&mut self, now: Timestamp, update: &RateUpdate) -> Option<RateChange> {
+        let change = self.rates.learn_from_peer(now, update)?;
+        self.on_rate_change(now, &update.engine, change);
+        if self.owns(&update.engine) {
+            self.rates.schedule_update(&update.engine);
         }
         Some(change)
     }
 
-    fn on_change(&mut self, now: Timestamp, engine: &BackEndName, change: RateChange) {
+    fn on_rate_change(&mut self, now: Timestamp, engine: &BackEndName, change: RateChange) {
         match change.now {
             Some(_) => {
                 self.bucket(now, engine);
@@ -139,7 +143,7 @@
         }
     }
 
-    /// The router whose bucket holds an engine's rate; `None` while the routers are not known.
+    /// The router whose bucket limits an engine's rate; `None` while the routers are not known.
     pub fn owner(&mut self, engine: &BackEndName) -> Option<SocketAddr> {
         if !self.knows_routers {
             return None;
@@ -157,22 +161,23 @@
         self.owner(engine) == Some(self.slots.own_address())
     }
 
-    /// Engines that state a rate which this router owns.
+    /// Engines that state a rate and that this router owns.
     pub fn owned(&self) -> Vec<BackEndName> {
         self.buckets.keys().cloned().collect()
     }
 
-    /// What is known of up to `most` engines that state a rate, that another router owns, and that `counts` says count.
+    /// Updates for `owner` about up to `limit` of the engines that it owns, that state a rate and
+    /// for which `is_relevant` holds.
     pub fn updates_for_owner(
         &self,
         now: Timestamp,
         owner: SocketAddr,
-        counts: impl Fn(&BackEndName) -> bool,
-        most: usize,
+        is_relevant: impl Fn(&BackEndName) -> bool,
+        limit: usize,
     ) -> Vec<RateUpdate> {
         let owned = self.rates.limited().filter(|engine| self.owners.get(*engine) == Some(&owner));
-        let counted = owned.filter(|engine| counts(engine)).take(most);
-        counted.filter_map(|engine| self.rates.update_for(now, engine)).collect()
+        let relevant = owned.filter(|engine| is_relevant(engine)).take(limit);
+        relevant.filter_map(|engine| self.rates.update_for(now, engine)).collect()
     }
 
     /// Every other router.
@@ -195,24 +200,25 @@
         Some((bucket, rate))
     }
 
-    /// Whether a permit of `lender` counts for an engine: of one that states a rate only its owner's does, whatever a router
-    /// that has not heard of the statement lends.
+    /// Whether a permit from `lender` is valid for an engine. If the engine states a rate, only its
+    /// owner's permits are valid: another router may lend a slot because it has not received the
+    /// statement yet.
     pub fn accepts_permit_from(&mut self, lender: SocketAddr, engine: &BackEndName) -> bool {
         self.rates.rate(engine).is_none() || self.owner(engine) == Some(lender)
     }
 
-    /// Whether this router may send a request to an engine without asking another one.
+    /// Whether this router may send a request to an engine without asking another router.
     pub fn has_room(&mut self, now: Timestamp, engine: &EngineRecord, scope: PermitScope) -> bool {
         let name = &engine.notice.engine;
         if self.rates.rate(name).is_none() {
             return scope == PermitScope::Rate || self.slots.free(now, engine) > 0;
         }
         let has_slot = scope == PermitScope::Rate || self.free_slots(now, engine) > 0;
-        let may_go = |(bucket, rate): (&mut RateBucket, _)| bucket.wait(now, rate) == Millis(0);
-        has_slot && self.bucket(now, name).is_some_and(may_go)
+        let has_permit = |(bucket, rate): (&mut RateBucket, _)| bucket.wait(now, rate) == Millis(0);
+        has_slot && self.bucket(now, name).is_some_and(has_permit)
     }
 
-    /// Free slots of an engine that this router answers for.
+    /// Free slots of an engine that this router manages.
     pub fn free_slots(&mut self, now: Timestamp, engine: &EngineRecord) -> u32 {
         let name = &engine.notice.engine;
         if self.rates.rate(name).is_none() {
@@ -221,8 +227,8 @@
         engine.notice.slots.saturating_sub(self.slots.used(name))
     }
 
-    /// A request goes to an engine, whether there is room for it or not. Its slot is in use until
-    /// [`SlotShares::release_slot`], unless it is held to rates only.
+    /// Counts a request sent to an engine, whether or not there is room for it. With
+    /// [`PermitScope::RateAndSlot`] it occupies a slot until [`SlotShares::release_slot`].
     pub fn take(&mut self, now: Timestamp, engine: &BackEndName, scope: PermitScope) {
         if scope == PermitScope::RateAndSlot {
             self.slots.take(engine);
@@ -232,7 +238,8 @@
         }
     }
 
-    /// What requests can expect of `engines`, all those of a service that may be asked.
+    /// Whether requests can get a permit for one of `engines`, which are all engines of a service
+    /// that accept requests.
     pub fn availability<'a>(
         &mut self,
         now: Timestamp,
@@ -254,7 +261,8 @@
         }
     }
 
-    /// Time until a permit for an engine may be had, here or from its owner; `None` if it states no rate.
+    /// Time until a permit for an engine may be available, here or from its owner; `None` if it
+    /// states no rate.
     fn wait(&mut self, now: Timestamp, engine: &EngineRecord) -> Option<Millis> {
         let name = &engine.notice.engine;
         self.rates.rate(name)?;
@@ -263,19 +271,19 @@
         }
         let owner = self.owner(name);
         let key = owner.map(|owner| (owner, engine.notice.service.clone()));
-        let until = key.and_then(|key| self.spent_until.get(&key).copied());
-        Some(until.unwrap_or_default().since(now))
+        let spent_until = key.and_then(|key| self.spent_until.get(&key).copied());
+        Some(spent_until.unwrap_or_default().since(now))
     }
 
-    /// Time until this router has a permit to give for an engine that `counts` says counts; `None` if it owns none of
-    /// them.
+    /// Time until this router can issue a permit for one of the engines for which `is_relevant`
+    /// holds; `None` if it owns none of them.
     pub fn next_owned_permit(
         &mut self,
         now: Timestamp,
-        counts: impl Fn(&BackEndName) -> bool,
+        is_relevant: impl Fn(&BackEndName) -> bool,
     ) -> Option<Millis> {
         let mut soonest = None;
-        for engine in self.owned().iter().filter(|engine| counts(engine)) {
+        for engine in self.owned().iter().filter(|engine| is_relevant(engine)) {
             if let Some((bucket, rate)) = self.bucket(now, engine) {
                 soonest = soonest.into_iter().chain([bucket.wait(now, rate)]).min();
             }
@@ -283,15 +291,15 @@
         soonest
     }
 
-    /// Rates of those engines that `counts` says count and this router owns, together.
-    pub fn owned_rate(&self, counts: impl Fn(&BackEndName) -> bool) -> RequestRate {
-        let owned = self.buckets.keys().filter(|engine| counts(engine));
+    /// Sum of the rates of the engines that this router owns and for which `is_relevant` holds.
+    pub fn owned_rate(&self, is_relevant: impl Fn(&BackEndName) -> bool) -> RequestRate {
+        let owned = self.buckets.keys().filter(|engine| is_relevant(engine));
         owned
             .filter_map(|engine| self.rates.rate(engine))
             .fold(RequestRate::ZERO, |sum, rate| sum + rate)
     }
 
-    /// Another router has nothing to give for a service for so long.
+    /// Records that another router has no permit to issue for a service during `wait`.
     pub fn on_spent(
         &mut self,
         now: Timestamp,
@@ -302,25 +310,27 @@
         self.spent_until.insert((owner, service.clone()), now + wait);
     }
 
-    /// Forgets engines that the directory no longer knows, so that what is kept is bounded by what is known.
+    /// Removes engines that the directory no longer knows, so that the memory is bounded by the
+    /// directory.
     pub fn forget_unknown(&mut self, directory: &EngineDirectory) {
         self.rates.forget_unknown(directory);
         self.buckets.retain(|engine, _| directory.get(engine).is_some());
         self.owners.retain(|engine, _| directory.get(engine).is_some());
     }
 
-    /// Routers to ask for a permit for one of `engines`, all of one service: the owners of those that state a rate, and
-    /// whoever may lend a slot. Each request, by its `lot`, begins with another one.
+    /// Routers to ask for a permit for one of `engines`, all of one service: the owners of those
+    /// that state a rate, and the routers that may lend a slot. Their order depends on
+    /// `request_hash`, so that requests start with different routers.
     pub fn lenders<'a>(
         &mut self,
         now: Timestamp,
-        lot: u64,
+        request_hash: u64,
         scope: PermitScope,
         engines: impl Iterator<Item = &'a EngineRecord>,
     ) -> Vec<SocketAddr> {
         let own = self.slots.own_address();
         let mut lenders = Vec::new();
-        let mut lends_slots = false;
+        let mut needs_slot = false;
         for engine in engines {
             let name = &engine.notice.engine;
             match self.rates.rate(name).and_then(|_| self.owner(name)) {
@@ -328,14 +338,14 @@
                     lenders.push((owner, router_hash(owner)))
                 }
                 Some(_) => {}
-                None => lends_slots |= scope == PermitScope::RateAndSlot,
+                None => needs_slot |= scope == PermitScope::RateAndSlot,
             }
         }
-        if lends_slots {
+        if needs_slot {
             lenders.extend(self.slots.lenders(now));
         }
         lenders.retain(|(lender, _)| *lender != own);
-        lenders.sort_by_key(|(lender, hash)| (mix(lot ^ hash), *lender));
+        lenders.sort_by_key(|(lender, hash)| (mix(request_hash ^ hash), *lender));
         lenders.dedup();
         lenders.into_iter().map(|(lender, _)| lender).collect()
     }
--- a/crates/gateway-core/src/event_stream.rs
+++ b/crates/gateway-core/src/event_stream.rs
@@ -1,17 +1,17 @@
-//! Whole events of a stream of server-sent events.
+//! Splits a stream of server-sent events into whole events.
 
 use bytes::{Bytes, BytesMut};
 
-/// One whole event, byte for byte as it came.
+/// One whole event, byte for byte as received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// Its bytes with the blank line that ends it.
+    /// Its bytes, including the blank line that ends it.
     pub bytes: Bytes,
-    /// Its id, if it has one that is a number.
+    /// Its id, if it has a numeric one.
     pub id: Option<u64>,
 }
 
-/// Splits a stream of bytes into whole events. Bytes of an unfinished event are held back.
+/// Splits a stream of bytes into whole events. Bytes of an incomplete event are buffered.
 #[derive(Clone, Debug, Default)]
 pub struct EventSplitter {
     pending: BytesMut,
@@ -19,7 +19,7 @@
 }
 
 impl EventSplitter {
-    /// Takes in bytes.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.pending.extend_from_slice(bytes);
     }
@@ -36,12 +36,12 @@
         Some(Event { bytes, id })
     }
 
-    /// Whether bytes of an unfinished event are held.
+    /// Whether bytes of an incomplete event are buffered.
     pub fn is_mid_event(&self) -> bool {
         !self.pending.is_empty()
     }
 
-    /// Drops what is held of an unfinished event.
+    /// Discards the buffered bytes of an incomplete event.
     pub fn clear(&mut self) {
         self.pending.clear();
         self.searched = 0;
--- a/crates/gateway-core/src/fingerprint.rs
+++ b/crates/gateway-core/src/fingerprint.rs
@@ -1,21 +1,21 @@
-//! What a request asks, as a short name that is the same for every repeat of it.
+//! Fingerprints of requests: the same for every retry of a request.
 
 use serde::{Deserialize, Serialize};
 use stackpost_types::{Digest, TenantName};
 use std::fmt;
 
-/// Digest of what a request asks and for whom. A caller's repeat has a new id, may come over another
-/// connection and to another router, and may carry another deadline; none of these is part of it.
+/// Digest of a request's content and tenant. A caller's retry has a new id, may use another
+/// connection and another router, and may carry another deadline; none of these is part of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct RequestFingerprint(Digest);
 
-/// What a fingerprint is made of.
+/// The content that a fingerprint covers.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestContent<'a> {
     /// The method.
     pub method: &'a str,
-    /// The host that the caller named.
+    /// The host that the caller addressed.
     pub host: &'a str,
     /// The path with its query.
     pub path: &'a str,
--- a/crates/gateway-core/src/hashing.rs
+++ b/crates/gateway-core/src/hashing.rs
@@ -1,4 +1,4 @@
-//! Numbers for rendezvous hashing and for breaking ties.
+//! Hashing for rendezvous hashing and for tie-breaking.
 
 /// Spreads the bits of a number (the finalizer of SplitMix64; Steele, Lea and Flood, 2014).
 pub(crate) fn mix(value: u64) -> u64 {
--- a/crates/gateway-core/src/lib.rs
+++ b/crates/gateway-core/src/lib.rs
@@ -1,22 +1,25 @@
-//! Decisions of a gateway without I/O.
+//! The routing decisions of a gateway, without I/O.
 //!
 //! - [`RoutingConfig`]: routes by host and longest path prefix, services, tenants and their keys.
-//! - [`EngineDirectory`]: which engines are said to exist, merged from late and crossed notices.
-//! - [`EnginePicker`]: which engine a request goes to; for generations by the [`PlacementCost`] that follows
-//!   from each engine's [`EngineLoad`].
-//! - [`BackoffTracker`]: engines that have asked to be left alone for a while, or that leave.
+//! - [`EngineDirectory`]: the known engines, merged from notices that may be delayed or out of
+//!   order.
+//! - [`EnginePicker`]: the engine for a request; for generations by the [`PlacementCost`] that
+//!   follows from each engine's [`EngineLoad`].
+//! - [`BackoffTracker`]: engines that have asked to receive no requests for some time, or that
+//!   leave.
 //! - [`SlotShares`]: which of the engines' slots belong to which router.
-//! - [`StatedRates`]: how many requests a second engines take, as they state it.
+//! - [`StatedRates`]: the request rates that engines state as their limit.
 //! - [`EnginePermits`]: whether a request may be sent to an engine, by its slots and its rate.
-//! - [`RouterLists`]: which routers are there, by what several control processes hear.
-//! - [`AccountOwners`]: which router of a zone keeps the zone's account of a tenant.
-//! - [`LoadShedder`]: who is let in while engines state that they take less than is asked.
+//! - [`RouterLists`]: the running routers, as reported by several control processes.
+//! - [`AccountOwners`]: which router of a zone owns the zone's account of a tenant.
+//! - [`LoadShedder`]: which requests are admitted while demand exceeds the rates that engines
+//!   state.
 //! - [`RetryBudget`]: how many requests may be sent to a further engine.
-//! - [`RequestFingerprint`]: what a request asks, the same for every repeat of it.
-//! - [`Departures`]: what engines have said of their end, for the whole fleet.
-//! - [`Quarantine`]: requests under which engines have ended, for the whole fleet; [`CrashTracker`]: what
-//!   one router knows of them.
-//! - [`EventSplitter`]: whole events of a stream.
+//! - [`RequestFingerprint`]: identifies a request by its content; the same for every retry of it.
+//! - [`Departures`]: engines that drain or have left, for the whole fleet.
+//! - [`Quarantine`]: requests under which engines have crashed, for the whole fleet;
+//!   [`CrashTracker`]: the same as known to one router.
+//! - [`EventSplitter`]: splits a byte stream into whole server-sent events.
 
 mod account_owners;
 mod backoff;
--- a/crates/gateway-core/src/load_shedding.rs
+++ b/crates/gateway-core/src/load_shedding.rs
@@ -1,133 +1,140 @@
-//! Which requests are let in while a service's engines state that they take less than is asked.
+//! Which requests are admitted while demand for a service exceeds the rates that its engines state.
 //!
-//! Whoever comes first would get a permit otherwise, and what is less urgent mostly comes more often. So demand is counted by
-//! urgency and tenant, and each second what can be had is dealt out anew: a floor for every urgency, so that none
-//! starves, the rest to the more urgent first; within one urgency tenants share alike up to what they ask for. A request
-//! is let in by its own lot with the share of its tenant, the others are refused before anything is done for them.
+//! Without this, permits would go to whichever request arrives first, and less urgent requests
+//! mostly arrive more often. So demand is counted by priority and tenant, and each second the
+//! capacity is allocated anew: a minimum for every priority, so that none starves, and the
+//! remainder to the higher priorities first; within one priority tenants get equal shares up to
+//! their demand. Each class has a probability with which its requests are admitted, decided by
+//! the hash of the request; the others are rejected before any work is done for them.
 //!
-//! What can be had is what this router got of late and a little more, so that it finds out when there is more, and
-//! no less than what it owns.
+//! The capacity is the rate of permits this router got recently plus some headroom, so that it
+//! discovers when more is available, and at least the rate it owns.
 
 use stackpost_types::{Millis, RequestRate, ServiceName, TenantName, Timestamp};
 use std::collections::{BTreeMap, HashMap};
 
-/// Time between two deals.
-const DEAL_INTERVAL: Millis = Millis(1_000);
-/// Requests are shed for so long after one last found no permit.
-const SHORT_FOR: Millis = Millis(2_000);
-/// Part of what can be had that each urgency gets first, if it asks for as much.
-const FLOOR: f64 = 0.1;
-/// Weight of the last interval in demand and in what was had: a burst of one second does not rule alone.
+/// Time between two allocations.
+const ALLOCATION_INTERVAL: Millis = Millis(1_000);
+/// Time for which requests are shed after one found no permit.
+const SHEDDING_TIME: Millis = Millis(2_000);
+/// Part of the capacity that each priority gets first, if its demand is as high.
+const MIN_PRIORITY_SHARE: f64 = 0.1;
+/// Weight of the last interval in the smoothed demand and permit rate, so that a burst of one
+/// second does not dominate.
 const SMOOTHING: f64 = 0.5;
-/// What may be had beyond what was had of late.
-const HEADROOM: f64 = 1.15;
-/// The same in requests a second, so that one who got nothing asks again.
-const LEAST_HEADROOM: f64 = 0.5;
-/// Pairs of urgency and tenant that are counted; further ones count as the last one.
-const MOST_CLASSES: usize = 4_096;
-/// Lots of requests lie below this.
-const LOTS: u64 = 1 << 32;
-
-/// Whose request it is, and how urgent; lower is more urgent.
+/// Factor by which the capacity exceeds the recent permit rate.
+const CAPACITY_HEADROOM: f64 = 1.15;
+/// Additional capacity in requests per second, so that a router without any permits still tries.
+const MIN_HEADROOM_RPS: f64 = 0.5;
+/// Maximum number of classes that are counted; further ones count as the last one.
+const MAX_CLASSES: usize = 4_096;
+/// Request hashes are reduced modulo this number.
+const HASH_RANGE: u64 = 1 << 32;
+
+/// Priority and tenant of a request.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestClass {
-    /// Urgency; 0 is the highest.
+    /// Priority; 0 is the highest.
     pub priority: u32,
     /// The tenant, if known.
     pub tenant: Option<TenantName>,
 }
 
-/// Requests of one class.
+/// Demand of one class.
 #[derive(Clone, Copy, Debug, Default)]
 struct ClassDemand {
-    /// In this interval.
+    /// Requests in this interval.
     arrived: u32,
-    /// A second, of late.
+    /// Smoothed requests per second.
     rate: f64,
-    /// The share that is let in.
+    /// The probability with which a request is admitted.
     share: f64,
 }
 
-/// One service's demand.
+/// Demand for one service.
 #[derive(Clone, Debug)]
 struct ServiceDemand {
     classes: BTreeMap<RequestClass, ClassDemand>,
     /// Permits in this interval.
-    got: u32,
-    /// Permits a second, of late.
-    got_rate: f64,
-    /// Permits a second that can be had.
+    permits: u32,
+    /// Smoothed permits per second.
+    permit_rate: f64,
+    /// Permits per second that can be expected.
     capacity: f64,
-    dealt_at: Timestamp,
-    short_until: Timestamp,
-    /// When the last of the callers who were told to return is due.
-    last_return: Timestamp,
+    allocated_at: Timestamp,
+    shedding_until: Timestamp,
+    /// When the last of the rejected callers is due to retry.
+    last_retry_at: Timestamp,
 }
 
-/// What one router sheds.
+/// Sheds one router's load.
 #[derive(Clone, Debug, Default)]
 pub struct LoadShedder {
     services: HashMap<ServiceName, ServiceDemand>,
 }
 
 impl LoadShedder {
-    /// A request arrives for a service of which every engine states a rate; this router owns `owned` of these. Returns
-    /// whether to let it in. `lot` is any number that differs from request to request.
+    /// Whether to admit a request for a service of which every engine states a rate; `owned` is the
+    /// sum of the rates that this router owns. `request_hash` is a number that differs from request
+    /// to request.
     pub fn admits(
         &mut self,
         now: Timestamp,
         service: &ServiceName,
         class: &RequestClass,
         owned: RequestRate,
-        lot: u64,
+        request_hash: u64,
     ) -> bool {
         let demand =
             self.services.entry(service.clone()).or_insert_with(|| ServiceDemand::new(now));
-        demand.deal_if_due(now, owned);
+        demand.allocate_if_due(now, owned);
         let share = demand.count(class);
-        now >= demand.short_until || (lot % LOTS) as f64 <= share * LOTS as f64
+        now >= demand.shedding_until
+            || (request_hash % HASH_RANGE) as f64 <= share * HASH_RANGE as f64
     }
 
-    /// A request of a service got a permit.
+    /// Records that a request of a service got a permit.
     pub fn on_permit(&mut self, service: &ServiceName) {
         if let Some(demand) = self.services.get_mut(service) {
-            demand.got += 1;
+            demand.permits += 1;
         }
     }
 
-    /// A request of a service found no permit.
+    /// Records that a request of a service found no permit.
     pub fn on_no_permit(&mut self, now: Timestamp, service: &ServiceName) {
         if let Some(demand) = self.services.get_mut(service) {
-            demand.short_until = now + SHORT_FOR;
+            demand.shedding_until = now + SHEDDING_TIME;
         }
     }
 
-    /// When a caller who is refused now should return: no sooner than the first permit comes (`soonest`), behind those who
-    /// were told before at the pace at which permits can be had, and no later than is of use to it (`latest`). Beyond
-    /// that it returns at a moment of its own (`lot`) in the later half of that time.
+    /// The time after which a caller who is rejected now should retry: not before the first permit
+    /// is available (`soonest`), after the callers that were rejected before at the rate of the
+    /// permits, and no later than is useful to the caller (`latest`). If that is exceeded, the
+    /// caller retries at a time in the second half of `latest` that depends on `request_hash`.
     pub fn retry_delay(
         &mut self,
         now: Timestamp,
         service: &ServiceName,
         soonest: Millis,
         latest: Millis,
-        lot: u64,
+        request_hash: u64,
     ) -> Millis {
         let Some(demand) = self.services.get_mut(service) else {
             return soonest.min(latest);
         };
-        let pace = Millis((1_000.0 / demand.capacity.max(LEAST_HEADROOM)) as u64);
-        let due = (now + soonest).max(demand.last_return + pace);
-        if due > now + latest {
-            return Millis(latest.0 - lot % (latest.0 / 2).max(1)).max(soonest.min(latest));
+        let permit_interval = Millis((1_000.0 / demand.capacity.max(MIN_HEADROOM_RPS)) as u64);
+        let retry_at = (now + soonest).max(demand.last_retry_at + permit_interval);
+        if retry_at > now + latest {
+            return Millis(latest.0 - request_hash % (latest.0 / 2).max(1))
+                .max(soonest.min(latest));
         }
-        demand.last_return = due;
-        due.since(now)
+        demand.last_retry_at = retry_at;
+        retry_at.since(now)
     }
 
-    /// Forgets services of which nobody has asked anything for a minute.
+    /// Removes services without requests for a minute.
     pub fn forget_old(&mut self, now: Timestamp) {
-        self.services.retain(|_, demand| now.since(demand.dealt_at) < Millis(60_000));
+        self.services.retain(|_, demand| now.since(demand.allocated_at) < Millis(60_000));
     }
 }
 
@@ -135,76 +142,76 @@
     fn new(now: Timestamp) -> Self {
         Self {
             classes: BTreeMap::new(),
-            got: 0,
-            got_rate: 0.0,
+            permits: 0,
+            permit_rate: 0.0,
             capacity: 0.0,
-            dealt_at: now,
-            short_until: Timestamp(0),
-            last_return: Timestamp(0),
+            allocated_at: now,
+            shedding_until: Timestamp(0),
+            last_retry_at: Timestamp(0),
         }
     }
 
-    /// Counts a request. Returns the share of its class.
+    /// Counts a request. Returns the admission probability of its class.
     fn count(&mut self, class: &RequestClass) -> f64 {
-        let is_full = self.classes.len() >= MOST_CLASSES && !self.classes.contains_key(class);
+        let is_full = self.classes.len() >= MAX_CLASSES && !self.classes.contains_key(class);
         let counted =
             if is_full { self.classes.last_key_value().map(|(last, _)| last) } else { None };
         let class = counted.cloned().unwrap_or_else(|| class.clone());
-        let unknown = ClassDemand { share: 1.0, ..ClassDemand::default() };
-        let demand = self.classes.entry(class).or_insert(unknown);
+        let initial = ClassDemand { share: 1.0, ..ClassDemand::default() };
+        let demand = self.classes.entry(class).or_insert(initial);
         demand.arrived += 1;
         demand.share
     }
 
-    fn deal_if_due(&mut self, now: Timestamp, owned: RequestRate) {
-        let passed = now.since(self.dealt_at);
-        if passed < DEAL_INTERVAL {
+    fn allocate_if_due(&mut self, now: Timestamp, owned: RequestRate) {
+        let elapsed = now.since(self.allocated_at);
+        if elapsed < ALLOCATION_INTERVAL {
             return;
         }
-        self.dealt_at = now;
-        let seconds = passed.0 as f64 / 1_000.0;
+        self.allocated_at = now;
+        let seconds = elapsed.0 as f64 / 1_000.0;
         let smooth = |before: f64, counted: u32| {
             let rate = f64::from(counted) / seconds;
             before + SMOOTHING * (rate - before)
         };
-        self.got_rate = smooth(self.got_rate, std::mem::take(&mut self.got));
+        self.permit_rate = smooth(self.permit_rate, std::mem::take(&mut self.permits));
         for demand in self.classes.values_mut() {
             demand.rate = smooth(demand.rate, std::mem::take(&mut demand.arrived));
         }
         self.classes.retain(|_, demand| demand.rate > 0.01);
         let owned = owned.milli_rps() as f64 / 1_000.0;
-        self.capacity = (self.got_rate * HEADROOM + LEAST_HEADROOM).max(owned);
-        self.deal();
+        self.capacity = (self.permit_rate * CAPACITY_HEADROOM + MIN_HEADROOM_RPS).max(owned);
+        self.allocate();
     }
 
-    /// Deals out what can be had.
-    fn deal(&mut self) {
-        let mut asked: BTreeMap<u32, f64> = BTreeMap::new();
+    /// Allocates the capacity to the classes.
+    fn allocate(&mut self) {
+        let mut demanded: BTreeMap<u32, f64> = BTreeMap::new();
         for (class, demand) in &self.classes {
-            *asked.entry(class.priority).or_default() += demand.rate;
+            *demanded.entry(class.priority).or_default() += demand.rate;
         }
-        let floor = |asked: f64| asked.min(FLOOR * self.capacity);
-        let floors: f64 = asked.values().map(|asked| floor(*asked)).sum();
-        let mut left = (self.capacity - floors).max(0.0);
-        for (priority, asked) in asked {
-            let beyond = (asked - floor(asked)).min(left);
-            left -= beyond;
-            let given = floor(asked) + beyond;
-            let of_priority =
+        let floor = |demanded: f64| demanded.min(MIN_PRIORITY_SHARE * self.capacity);
+        let floors: f64 = demanded.values().map(|demanded| floor(*demanded)).sum();
+        let mut remaining = (self.capacity - floors).max(0.0);
+        for (priority, demanded) in demanded {
+            let extra = (demanded - floor(demanded)).min(remaining);
+            remaining -= extra;
+            let granted = floor(demanded) + extra;
+            let same_priority =
                 self.classes.iter_mut().filter(|(class, _)| class.priority == priority);
-            share_alike(of_priority.map(|(_, demand)| demand).collect(), given);
+            allocate_max_min(same_priority.map(|(_, demand)| demand).collect(), granted);
         }
     }
 }
 
-/// Gives each the same, but no more than it asks for (max-min fairness).
-fn share_alike(mut demands: Vec<&mut ClassDemand>, mut given: f64) {
+/// Allocates the same to each class, but at most its demand (max-min fairness).
+fn allocate_max_min(mut demands: Vec<&mut ClassDemand>, mut granted: f64) {
     demands.sort_by(|left, right| left.rate.total_cmp(&right.rate));
-    let mut waiting = demands.len();
+    let mut unserved = demands.len();
     for demand in demands {
-        let part = (given / waiting as f64).min(demand.rate);
-        given -= part;
-        waiting -= 1;
-        demand.share = if demand.rate > 0.0 { part / demand.rate } else { 1.0 };
+        let portion = (granted / unserved as f64).min(demand.rate);
+        granted -= portion;
+        unserved -= 1;
+        demand.share = if demand.rate > 0.0 { portion / demand.rate } else { 1.0 };
     }
 }
--- a/crates/gateway-core/src/picker.rs
+++ b/crates/gateway-core/src/picker.rs
@@ -1,13 +1,14 @@
-//! Which engine a request goes to.
+//! Which engine a request is sent to.
 //!
-//! Requests about the same subject share the beginning of their prompt, and an engine that has
-//! read it needs not read it again. So engines are ranked for each subject by rendezvous hashing,
-//! and the first one that is not overloaded is taken. Requests without a subject go to the engine
-//! with the fewest requests.
+//! Requests about the same subject share a prompt prefix, and an engine that has it cached does not
+//! prefill it again. So engines are ranked for each subject by rendezvous hashing, and the first
+//! one that is not overloaded is chosen. Requests without a subject go to the engine with the
+//! fewest requests.
 //!
-//! An engine is avoided while it fails, while its zone can't be reached, and while it has not been
-//! announced for some time; it is used all the same if there is no better one. These are guesses. What an
-//! engine has asked for itself is none ([`BackoffTracker`]): such an engine is no candidate, whatever else there is.
+//! An engine is avoided while it fails, while its zone is unreachable, and while it has not been
+//! announced for some time; it is still used if there is no better one, because these are
+//! estimates. A backoff or departure that an engine has requested itself is not an estimate
+//! ([`BackoffTracker`]): such an engine is never a candidate.
 
 use crate::backoff::{BackoffChange, BackoffTracker};
 use crate::directory::{EngineDirectory, EngineRecord};
@@ -19,72 +20,74 @@
 use stackpost_types::{BackEndName, Digest, Millis, ServiceName, Timestamp, Tokens, ZoneName};
 use std::collections::HashMap;
 
-/// An engine that answered so lately is there, whatever has been announced.
-const ANSWER_TRUST: Millis = Millis(2_000);
-/// Connections to a zone that must fail in a row before the zone is avoided.
-const ZONE_FAILURES: u32 = 3;
-/// How long a zone is avoided before it is tried again.
+/// Time for which a response proves that an engine runs, whether or not it is announced.
+const RESPONSE_TRUST_TIME: Millis = Millis(2_000);
+/// Consecutive connection failures to a zone after which the zone is avoided.
+const ZONE_FAILURE_THRESHOLD: u32 = 3;
+/// Time for which a zone is avoided before it is tried again.
 const ZONE_EJECTION: Millis = Millis(1_200);
-/// An engine may have this many times the mean load, in thousandths, before a subject moves on.
+/// Multiple of the mean load, in thousandths, up to which an engine keeps its subjects.
 const LOAD_BOUND_PERMILLE: u64 = 1_400;
 /// Load that an engine may always have, in requests of this router.
 const LOAD_SLACK: u64 = 2;
 
-/// Engines whose load is kept: four times the largest fleet. What other routers say may be of an engine that
-/// is not announced here yet, and anyone may send a datagram; what stays unknown is forgotten in seconds.
-const MOST_LOADS: usize = 4_096;
+/// Maximum number of engines whose load is kept: four times the largest fleet. Updates of other
+/// routers may be about an engine that is not announced here yet, and any host may send a datagram;
+/// engines that remain unknown are removed within seconds.
+const MAX_LOADS: usize = 4_096;
 
 /// How an attempt at an engine ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// It answered, well or with a failure that is its own business.
+    /// The engine responded, with success or with an error that is not counted against it.
     Answered,
-    /// It answered with an error of its own.
+    /// The engine responded with an error of its own.
     EngineError,
-    /// It said that it has no room.
+    /// The engine responded that it has no free capacity.
     Full,
-    /// It said that it wants no request for a while. That is its wish and no failure of it.
+    /// The engine asked for a backoff. This is a request of the engine, not a failure.
     BackoffRequested,
-    /// No connection came up.
+    /// No connection could be established.
     Unreachable,
-    /// The connection broke or the answer was not one.
+    /// The connection was interrupted or the response was invalid.
     Broken,
-    /// The caller went away or the time was over; says nothing about the engine.
+    /// The caller disconnected or the deadline passed; this shows nothing about the engine.
     Abandoned,
 }
 
-/// The engine for a request.
+/// The engine chosen for a request.
 #[derive(Clone, Debug)]
 pub struct EngineChoice {
     /// The engine.
     pub engine: EngineRecord,
-    /// What a generation is expected to meet there; `None` for other requests.
+    /// The placement of a generation; `None` for other requests.
     pub placement: Option<Placement>,
-    /// How the engine stood when it was chosen. Unless it is good, no good one was left.
+    /// The engine's standing when it was chosen. Unless it is good, there was no good one left.
     pub standing: Standing,
 }
 
-/// What a request needs.
+/// The properties of a request that determine the choice of an engine.
 #[derive(Clone, Copy)]
 pub struct PickQuery<'a> {
     /// The service.
     pub service: &'a ServiceName,
-    /// Hash of what the request is about.
+    /// Hash of the request's subject.
     pub subject: Option<u64>,
-    /// What it asks of a model engine; `None` for requests to other services.
+    /// The work of a generation; `None` for requests to other services.
     pub work: Option<GenerationWork>,
-    /// Engines that it is not to be sent to again.
+    /// Engines that already had an attempt at the request.
     pub tried: &'a [BackEndName],
-    /// Whether there is room for it at an engine, by what the engine states that it takes.
+    /// Whether an engine has room for the request, by its stated limits.
     pub has_room: &'a dyn Fn(&EngineRecord) -> bool,
-    /// Whether an engine has turned it away before. It is no request to try an engine with whose rest is over.
+    /// Whether an engine has rejected the request before. Such a request is not used to probe an
+    /// engine after its backoff.
     pub is_retry: bool,
-    /// Breaks ties.
+    /// Breaks ties between engines.
     pub tie_breaker: u64,
 }
 
 impl AttemptEnd {
-    /// The end as it stands in logs and figures.
+    /// The end as written in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Answered => "answered",
@@ -104,19 +107,19 @@
     avoided_until: Option<Timestamp>,
 }
 
-/// How an engine stands with this router; lower is better.
+/// How suitable an engine is for this router; lower is better.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Standing {
-    /// Nothing speaks against it.
+    /// No reason to avoid it.
     Good,
-    /// It has not been announced of late.
+    /// It has not been announced recently.
     Silent,
-    /// It has failed of late, or its zone can't be reached.
+    /// It has failed recently, or its zone is unreachable.
     Failing,
 }
 
 impl Standing {
-    /// The standing as it stands in logs.
+    /// The standing as written in logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Good => "good",
@@ -126,23 +129,23 @@
     }
 }
 
-/// What requests for a service can expect of its engines.
+/// Whether a service's engines accept requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ServiceAvailability {
-    /// An engine may be asked.
+    /// At least one engine accepts requests.
     Available,
-    /// Every engine that takes work has asked for rest.
+    /// Every engine that is ready has asked for a backoff.
     AllBackingOff {
-        /// Time until the first of them may be asked.
+        /// Time until a request may be sent to the first of them.
         soonest: Millis,
-        /// That engine.
+        /// The first of them.
         engine: BackEndName,
     },
-    /// No engine takes work.
+    /// No engine is ready.
     NoEngine,
 }
 
-/// What this router knows of the engines by its own requests.
+/// This router's state about the engines, and the choice among them.
 #[derive(Clone, Debug)]
 pub struct EnginePicker {
     own_zone: ZoneName,
@@ -150,8 +153,8 @@
     zones: HashMap<ZoneName, ZoneHealth>,
     loads: HashMap<BackEndName, EngineLoad>,
     backoff: BackoffTracker,
-    /// Mean reading speed of all engines, in tokens per millisecond.
-    usual_speed: Option<f64>,
+    /// Typical prefill speed of all engines, in tokens per millisecond.
+    typical_speed: Option<f64>,
 }
 
 struct Candidate<'a> {
@@ -161,7 +164,7 @@
 }
 
 impl EnginePicker {
-    /// A picker of a router in `own_zone`.
+    /// Creates the picker of a router in `own_zone`.
     pub fn new(own_zone: ZoneName) -> Self {
         Self {
             own_zone,
@@ -169,11 +172,11 @@
             zones: HashMap::new(),
             loads: HashMap::new(),
             backoff: BackoffTracker::default(),
-            usual_speed: None,
+            typical_speed: None,
         }
     }
 
-    /// The engine for a request; `None` if no engine of the service takes work.
+    /// Chooses the engine for a request; `None` if no engine of the service accepts it.
     pub fn pick(
         &self,
         now: Timestamp,
@@ -181,15 +184,15 @@
         query: &PickQuery<'_>,
     ) -> Option<EngineChoice> {
         let mut candidates = self.candidates(now, directory, query);
-        let is_tried =
+        let is_proven =
             |candidate: &Candidate<'_>| !self.backoff.is_probing(&candidate.record.notice.engine);
-        if query.is_retry && candidates.iter().any(is_tried) {
-            candidates.retain(is_tried);
+        if query.is_retry && candidates.iter().any(is_proven) {
+            candidates.retain(is_proven);
         }
         let best = candidates.iter().map(|candidate| candidate.standing).min()?;
         candidates.retain(|candidate| candidate.standing == best);
         if let Some(work) = query.work {
-            return self.pick_by_harm(now, &candidates, &work, query);
+            return self.pick_by_cost(now, &candidates, &work, query);
         }
         let engine = match query.subject {
             Some(subject) => self.pick_by_subject(&candidates, subject),
@@ -202,7 +205,7 @@
         })
     }
 
-    /// What a request for `service` can expect, whatever it is.
+    /// Whether requests for `service` can be sent, regardless of the single request.
     pub fn availability(
         &self,
         now: Timestamp,
@@ -223,27 +226,28 @@
         })
     }
 
-    /// An engine wants no request for a while.
+    /// Records that an engine has asked for a backoff.
     pub fn on_backoff(
         &mut self,
         now: Timestamp,
         engine: &BackEndName,
-        rest: Millis,
+        duration: Millis,
     ) -> BackoffChange {
-        self.backoff.on_backoff(now, engine, rest)
+        self.backoff.on_backoff(now, engine, duration)
     }
 
-    /// An engine says that it leaves. Returns whether that is news.
+    /// Records that an engine is leaving. Returns whether that was not known.
     pub fn on_leaving(&mut self, engine: &BackEndName) -> bool {
         self.backoff.on_leaving(engine)
     }
 
-    /// An engine has taken a request that was sent to it at `sent_at`.
+    /// Records that an engine has accepted a request that was sent to it at `sent_at`.
     pub fn on_accepted(&mut self, engine: &BackEndName, sent_at: Timestamp) {
         self.backoff.on_accepted(engine, sent_at);
     }
 
-    /// Whether a request that was chosen for an engine may still be sent: the engine has not left since, nor asked for rest.
+    /// Whether a request may still be sent to the engine chosen for it: the engine has neither left
+    /// nor asked for a backoff in the meantime.
     pub fn may_send(
         &self,
         now: Timestamp,
@@ -255,76 +259,78 @@
             && !self.backoff.is_leaving(engine)
     }
 
-    /// Whether an engine may be asked now, as far as it has said itself.
+    /// Whether the engine's own backoff and departure allow a request now.
     pub fn is_available(&self, now: Timestamp, engine: &BackEndName) -> bool {
         self.backoff.is_available(now, engine)
     }
 
-    /// Engines that rest.
+    /// Number of engines that are backing off.
     pub fn resting(&self, now: Timestamp) -> usize {
         self.backoff.resting(now)
     }
 
-    /// Notes that a request is sent to an engine.
+    /// Records that a request is sent to an engine.
     pub fn on_start(&mut self, now: Timestamp, engine: &BackEndName, sent: Option<&Placement>) {
         self.backoff.on_sent(now, engine);
         self.engines.entry(engine.clone()).or_default().on_sent(now);
         if let Some(sent) = sent {
             let load = self.loads.entry(engine.clone()).or_default();
-            load.on_sent(now, self.usual_speed, sent);
+            load.on_sent(now, self.typical_speed, sent);
         }
     }
 
-    /// Notes the first event of a generation, `took` after it was sent.
+    /// Records the first event of a generation, received `elapsed` after it was sent.
     pub fn on_first_event(
         &mut self,
         now: Timestamp,
         engine: &BackEndName,
         sent: &Placement,
-        took: Millis,
+        elapsed: Millis,
     ) {
         let load = self.loads.entry(engine.clone()).or_default();
-        if let Some(seen) = load.on_first_event(now, self.usual_speed, &sent.estimate, took) {
-            self.usual_speed = Some(track_median(self.usual_speed, seen));
+        if let Some(measured) =
+            load.on_first_event(now, self.typical_speed, &sent.estimate, elapsed)
+        {
+            self.typical_speed = Some(track_median(self.typical_speed, measured));
         }
     }
 
-    /// Takes in what another router says of its requests at an engine.
+    /// Merges another router's update of its load on an engine.
     pub fn on_peer_update(
         &mut self,
         now: Timestamp,
         router: u64,
         engine: BackEndName,
-        news: &EngineLoadUpdate,
+        update: &EngineLoadUpdate,
     ) {
-        if self.loads.len() >= MOST_LOADS && !self.loads.contains_key(&engine) {
+        if self.loads.len() >= MAX_LOADS && !self.loads.contains_key(&engine) {
             return;
         }
         let load = self.loads.entry(engine).or_default();
-        load.on_peer_update(now, self.usual_speed, router, news);
+        load.on_peer_update(now, self.typical_speed, router, update);
     }
 
-    /// What other routers should know of this one's requests. Counts as told. `urgent` leaves out
-    /// the engines to which nothing was sent that is to be read.
+    /// Updates of this router's load for other routers. What they contain counts as reported.
+    /// `urgent` limits them to engines with unreported tokens to prefill.
     pub fn take_updates(&mut self, urgent: bool) -> Vec<(BackEndName, EngineLoadUpdate)> {
         let is_due =
             |load: &EngineLoad| load.has_update() && (!urgent || !load.unreported().is_zero());
-        let told = self.loads.iter_mut().filter(|(_, load)| is_due(load));
-        told.map(|(engine, load)| (engine.clone(), load.take_updates())).collect()
+        let due = self.loads.iter_mut().filter(|(_, load)| is_due(load));
+        due.map(|(engine, load)| (engine.clone(), load.take_updates())).collect()
     }
 
-    /// Tokens that an engine has to read.
+    /// Tokens left to prefill at an engine.
     pub fn to_read(&self, now: Timestamp, engine: &BackEndName) -> Tokens {
         let load = self.loads.get(engine);
-        load.map_or(Tokens::ZERO, |load| Tokens(load.to_read(now, self.usual_speed) as u64))
+        load.map_or(Tokens::ZERO, |load| Tokens(load.to_read(now, self.typical_speed) as u64))
     }
 
-    /// Tokens to be read at an engine that other routers have not been told of.
+    /// Tokens to prefill at an engine that have not been reported to other routers.
     pub fn unreported(&self, engine: &BackEndName) -> Tokens {
         self.loads.get(engine).map(EngineLoad::unreported).unwrap_or_default()
     }
 
-    /// Notes the end of a request at an engine.
+    /// Records the end of an attempt at an engine.
     pub fn on_end(
         &mut self,
         now: Timestamp,
@@ -362,22 +368,23 @@
         }
     }
 
-    /// When an engine last turned a request of this router away.
+    /// When an engine last rejected a request of this router.
     pub fn rejected_at(&self, engine: &BackEndName) -> Option<Timestamp> {
         self.engines.get(engine)?.rejected_at
     }
 
-    /// Requests that this router sent to an engine later than `time`, some dozens at most.
+    /// Number of requests that this router sent to an engine later than `time`, at most some
+    /// dozens.
     pub fn sent_since(&self, engine: &BackEndName, time: Timestamp) -> usize {
         self.engines.get(engine).map_or(0, |health| health.sent_since(time))
     }
 
-    /// Requests that this router has at an engine.
+    /// Number of this router's requests in flight at an engine.
     pub fn in_flight(&self, engine: &BackEndName) -> u64 {
         self.engines.get(engine).map_or(0, |health| health.in_flight)
     }
 
-    /// Forgets engines that the directory no longer knows.
+    /// Removes engines that the directory no longer knows.
     pub fn forget_unknown(&mut self, now: Timestamp, directory: &EngineDirectory) {
         self.engines
             .retain(|engine, health| health.in_flight > 0 || directory.get(engine).is_some());
@@ -404,7 +411,7 @@
             .collect()
     }
 
-    /// How an engine stands with this router; `silent` if it has not been announced of late.
+    /// The standing of an engine; `silent` is whether it has not been announced recently.
     pub fn standing(&self, now: Timestamp, record: &EngineRecord, silent: bool) -> Standing {
         let health = self.engines.get(&record.notice.engine);
         let zone = self.zones.get(&record.notice.zone);
@@ -414,12 +421,13 @@
             return Standing::Failing;
         }
         let answered_at = health.and_then(|health| health.answered_at);
-        let trusted = answered_at.is_some_and(|at| now.since(at) < ANSWER_TRUST);
+        let trusted = answered_at.is_some_and(|at| now.since(at) < RESPONSE_TRUST_TIME);
         if silent && !trusted { Standing::Silent } else { Standing::Good }
     }
 
-    /// The engine where the request does least harm; among equals the first of its subject.
-    fn pick_by_harm(
+    /// The engine with the lowest cost for the request; among equals the first in the subject's
+    /// ranking.
+    fn pick_by_cost(
         &self,
         now: Timestamp,
         candidates: &[Candidate<'_>],
@@ -428,20 +436,20 @@
     ) -> Option<EngineChoice> {
         let key = query.subject.unwrap_or(query.tie_breaker);
         let home = candidates.iter().max_by_key(|candidate| rank(candidate, key))?;
-        let unused = EngineLoad::default();
-        let judge = |candidate: &Candidate<'_>| {
+        let idle = EngineLoad::default();
+        let evaluate = |candidate: &Candidate<'_>| {
             let engine = &candidate.record.notice.engine;
-            let load = self.loads.get(engine).unwrap_or(&unused);
+            let load = self.loads.get(engine).unwrap_or(&idle);
             let is_home = *engine == home.record.notice.engine;
-            let kept =
+            let cached =
                 is_home || query.subject.is_some_and(|subject| load.has_cached(now, subject));
-            let estimate = load.estimate(now, self.usual_speed, work, kept);
-            (PlacementCost::of(work, &estimate, kept), estimate)
+            let estimate = load.estimate(now, self.typical_speed, work, cached);
+            (PlacementCost::of(work, &estimate, cached), estimate)
         };
-        let judged = candidates.iter().map(|candidate| (candidate, judge(candidate)));
-        let (candidate, (cost, estimate)) = judged.min_by(|left, right| {
-            let by_harm = left.1.0.total().total_cmp(&right.1.0.total());
-            by_harm.then_with(|| rank(right.0, key).cmp(&rank(left.0, key)))
+        let evaluated = candidates.iter().map(|candidate| (candidate, evaluate(candidate)));
+        let (candidate, (cost, estimate)) = evaluated.min_by(|left, right| {
+            let by_cost = left.1.0.total().total_cmp(&right.1.0.total());
+            by_cost.then_with(|| rank(right.0, key).cmp(&rank(left.0, key)))
         })?;
         let placement = Placement { work: *work, subject: query.subject, estimate, cost };
         let standing = candidate.standing;
@@ -474,8 +482,8 @@
         let cost = |candidate: &&Candidate<'a>| {
             let other_zone = candidate.record.notice.zone != self.own_zone;
             let name = candidate.record.notice.engine.as_str();
-            let lot = mix(tie_breaker ^ Digest::of(&[name.as_bytes()]).to_u64());
-            (candidate.in_flight, other_zone, lot)
+            let tie_break = mix(tie_breaker ^ Digest::of(&[name.as_bytes()]).to_u64());
+            (candidate.in_flight, other_zone, tie_break)
         };
         candidates.iter().min_by_key(cost).map(|candidate| candidate.record)
     }
@@ -486,13 +494,13 @@
         }
         let health = self.zones.entry(zone).or_default();
         health.failures += 1;
-        if health.failures >= ZONE_FAILURES {
+        if health.failures >= ZONE_FAILURE_THRESHOLD {
             health.avoided_until = Some(now + ZONE_EJECTION);
         }
     }
 }
 
-/// The engines of a service that say that they take work.
+/// The engines of a service whose state is ready.
 fn ready_engines<'a>(
     directory: &'a EngineDirectory,
     service: &ServiceName,
@@ -502,7 +510,7 @@
     ready.filter(of_service)
 }
 
-/// Rank of an engine for a subject (rendezvous hashing); the highest comes first.
+/// Rank of an engine for a subject (rendezvous hashing); the highest is preferred.
 fn rank(candidate: &Candidate<'_>, subject: u64) -> u64 {
     let engine = candidate.record.notice.engine.as_str();
     mix(subject ^ Digest::of(&[engine.as_bytes()]).to_u64())
--- a/crates/gateway-core/src/quarantine.rs
+++ b/crates/gateway-core/src/quarantine.rs
@@ -1,128 +1,133 @@
-//! Requests under which engines have ended, and which of them are let in no more.
+//! Requests under which engines have crashed, and which of them are quarantined.
 //!
-//! A request that ends the engine which runs it looks, in any one try, like a request that was unlucky.
-//! Only over its repeats does it show: they come under other ids, over other connections, to any router.
-//! So sightings are gathered for the whole fleet by what was asked, and a request that has been seen at
-//! the end of [`CRASHES_TO_QUARANTINE`] engines is quarantined.
+//! A request that crashes the engine that runs it looks, in a single attempt, like any interrupted
+//! request. Only its retries reveal it: they arrive under other ids, over other connections, at any
+//! router. So crash sightings are collected for the whole fleet by request content, and a request
+//! that was running on [`CRASHES_TO_QUARANTINE`] engines when they crashed is quarantined.
 //!
-//! Every request that ran beside it saw the same engine end. Three things keep these apart:
-//! - An engine that goes on announcing itself has not ended; what was seen there is taken back.
-//! - A request that has ended well is no cause, however often it was near; it is cleared.
-//! - A quarantine ends after some time. The next engine that ends under the request brings it back, for
-//!   twice as long.
+//! Every request that ran beside it saw the same engine crash. Three rules tell them apart:
+//! - An engine that continues to announce itself has not crashed; sightings at it are revoked.
+//! - A request that has succeeded is not the cause, however many crashes it was near; it is
+//!   cleared.
+//! - A quarantine ends after some time. The next engine that crashes under the request renews it,
+//!   for twice as long.
 //!
-//! Invariants: a request's engines are distinct lives of engines; at most [`MAX_SUSPECTS`] requests are
-//! kept, and one that is quarantined is forgotten only if all of them are. Without I/O and clock, so that
-//! replicas that take in the same changes in the same order hold the same state.
+//! Invariants: a request's engines are distinct incarnations of engines; at most [`MAX_SUSPECTS`]
+//! requests are kept, and a quarantined one is evicted only if all of them are quarantined. There
+//! is no I/O and no clock, so that replicas that apply the same changes in the same order hold the
+//! same state.
 
 use crate::fingerprint::RequestFingerprint;
 use serde::{Deserialize, Serialize};
 use stackpost_types::{BackEndName, Millis};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Engines that may end under a request before it is let in no more. Of 7,784 requests of a day of
-/// trouble without such a request none met the end of three; the request itself ends one a copy.
+/// Number of engines that crash under a request before it is quarantined. Of 7,784 requests of a
+/// day with failures but without a crashing request, none saw three engines crash; a crashing
+/// request crashes one with each copy.
 pub const CRASHES_TO_QUARANTINE: usize = 3;
-/// Requests kept. Each engine that ends adds those that ran there, some dozens; with names of engines
-/// this is about 200 KB.
+/// Maximum number of requests kept. Each crashed engine adds the requests that ran there, some
+/// dozens; with the names of engines this is about 200 KB.
 pub const MAX_SUSPECTS: usize = 2_048;
-/// First quarantine of a request. Each release may cost an engine, and a copy that is under way beside it
-/// another one; an innocent is cleared sooner by whatever ends well.
+/// First quarantine of a request. Each release may cost an engine, and a copy that is in flight
+/// beside it another one; an innocent request is cleared earlier by any of its retries that
+/// succeeds.
 pub const INITIAL_QUARANTINE: Millis = Millis(300_000);
-/// Doublings of the quarantine at most: 160 minutes.
+/// Limit on the doublings of the quarantine: 160 minutes.
 const MAX_DOUBLINGS: u32 = 5;
 
-/// An engine ended while it ran a request.
+/// An engine crashed while it ran a request.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct CrashSighting {
-    /// What was asked.
+    /// The request.
     pub request: RequestFingerprint,
-    /// The engine: one life of it.
+    /// The engine's incarnation.
     pub engine: BackEndName,
 }
 
-/// One change of what is held against requests.
+/// One change of the quarantine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum QuarantineChange {
-    /// Engines have ended under requests.
+    /// Engines have crashed under requests.
     CrashesSeen(Vec<CrashSighting>),
-    /// The engine has not ended after all.
+    /// The engine has not crashed.
     EngineAlive(BackEndName),
-    /// These requests have ended well.
+    /// These requests have succeeded.
     Cleared(Vec<RequestFingerprint>),
-    /// These requests have been quarantined for as long as they were to be.
+    /// The quarantine of these requests is over.
     Released(Vec<RequestFingerprint>),
-    /// Nothing has been seen of these requests for long.
+    /// There have been no sightings of these requests for a long time.
     Expired(Vec<RequestFingerprint>),
 }
 
-/// What is held against one request.
+/// The crashes recorded for one request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Suspect {
-    /// Engines that ended under it, at most [`CRASHES_TO_QUARANTINE`].
+    /// Engines that crashed under it, at most [`CRASHES_TO_QUARANTINE`].
     engines: BTreeSet<BackEndName>,
     /// How often it was released from quarantine.
     releases: u32,
-    /// Position among the sightings; the oldest is forgotten first.
+    /// Sequence number of its newest sighting; the oldest request is evicted first.
     order: u64,
 }
 
 impl Suspect {
-    /// Engines that ended under it.
+    /// Engines that crashed under it.
     pub fn engines(&self) -> impl Iterator<Item = &BackEndName> {
         self.engines.iter()
     }
 
-    /// Whether it is let in no more.
+    /// Whether it is quarantined.
     pub fn is_quarantined(&self) -> bool {
         self.engines.len() >= CRASHES_TO_QUARANTINE
     }
 
-    /// How long its quarantine is to last.
+    /// Duration of its quarantine.
     pub fn quarantine_time(&self) -> Millis {
         Millis(INITIAL_QUARANTINE.0 << self.releases.min(MAX_DOUBLINGS))
     }
 }
 
-/// All requests under which engines have ended.
+/// All requests under which engines have crashed.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Quarantine {
     suspects: BTreeMap<RequestFingerprint, Suspect>,
     next_order: u64,
-    /// Rises with each change.
+    /// Increases with each change.
     revision: u64,
 }
 
-/// What routers are told of the quarantine.
+/// The quarantine as sent to routers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuarantineNotice {
-    /// Rises with each change of the quarantine; the highest holds.
+    /// Increases with each change of the quarantine; the highest is in force.
     pub revision: u64,
-    /// Requests that are let in no more.
+    /// Requests that are quarantined.
     pub quarantined: BTreeSet<RequestFingerprint>,
-    /// Requests for which one more engine is enough. Whoever sees one of them end well says so.
+    /// Requests that one more crash would quarantine. A router that sees one of them succeed
+    /// reports it.
     pub suspected: BTreeSet<RequestFingerprint>,
 }
 
 impl QuarantineNotice {
-    /// Whether the same requests are named.
+    /// Whether both notices list the same requests.
     pub fn has_same_requests(&self, other: &Self) -> bool {
         self.quarantined == other.quarantined && self.suspected == other.suspected
     }
 
-    /// Whether a request is named.
+    /// Whether a request is listed.
     pub fn includes(&self, request: &RequestFingerprint) -> bool {
         self.quarantined.contains(request) || self.suspected.contains(request)
     }
 }
 
 impl Quarantine {
-    /// Whether a change would change anything.
+    /// Whether applying a change would have an effect.
     pub fn would_change(&self, change: &QuarantineChange) -> bool {
         let known = |request: &RequestFingerprint| self.suspects.contains_key(request);
         match change {
             QuarantineChange::CrashesSeen(sightings) => {
-                sightings.iter().any(|seen| self.is_new(seen))
+                sightings.iter().any(|sighting| self.is_new(sighting))
             }
             QuarantineChange::EngineAlive(engine) => self.has_crashes_of(engine),
             QuarantineChange::Released(requests) => {
@@ -134,14 +139,14 @@
         }
     }
 
-    /// Takes in a change.
+    /// Applies a change.
     pub fn apply(&mut self, change: QuarantineChange) {
         self.revision += 1;
         match change {
             QuarantineChange::CrashesSeen(sightings) => {
-                sightings.into_iter().for_each(|seen| self.see(seen));
+                sightings.into_iter().for_each(|sighting| self.record_crash(sighting));
             }
-            QuarantineChange::EngineAlive(engine) => self.still_runs(&engine),
+            QuarantineChange::EngineAlive(engine) => self.revoke_engine(&engine),
             QuarantineChange::Cleared(requests) | QuarantineChange::Expired(requests) => {
                 requests.iter().for_each(|request| {
                     self.suspects.remove(request);
@@ -153,87 +158,91 @@
         }
     }
 
-    /// Whether a request is let in no more.
+    /// Whether a request is quarantined.
     pub fn is_quarantined(&self, request: &RequestFingerprint) -> bool {
         self.suspects.get(request).is_some_and(Suspect::is_quarantined)
     }
 
-    /// Rises with each change; equal for equal contents.
+    /// Increases with each change; equal revisions mean equal contents.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Whether an engine is said to have ended.
+    /// Whether a crash of an engine is recorded.
     pub fn has_crashes_of(&self, engine: &BackEndName) -> bool {
         self.suspects.values().any(|suspect| suspect.engines.contains(engine))
     }
 
-    /// Whether nothing is held against any request.
+    /// Whether no crash is recorded for any request.
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty()
     }
 
-    /// Everything that is held against requests.
+    /// All requests with recorded crashes.
     pub fn suspects(&self) -> impl Iterator<Item = (&RequestFingerprint, &Suspect)> {
         self.suspects.iter()
     }
 
-    /// What is held against a request.
+    /// The crashes recorded for a request.
     pub fn suspect(&self, request: &RequestFingerprint) -> Option<&Suspect> {
         self.suspects.get(request)
     }
 
-    /// What routers are to be told.
+    /// The notice for routers.
     pub fn notice(&self) -> QuarantineNotice {
-        let with = |engines: usize| {
-            let held = self.suspects.iter().filter(move |(_, held)| held.engines.len() == engines);
-            held.map(|(request, _)| *request).collect()
+        let with_crashes = |engines: usize| {
+            let matching =
+                self.suspects.iter().filter(move |(_, suspect)| suspect.engines.len() == engines);
+            matching.map(|(request, _)| *request).collect()
         };
         QuarantineNotice {
             revision: self.revision,
-            quarantined: with(CRASHES_TO_QUARANTINE),
-            suspected: with(CRASHES_TO_QUARANTINE - 1),
+            quarantined: with_crashes(CRASHES_TO_QUARANTINE),
+            suspected: with_crashes(CRASHES_TO_QUARANTINE - 1),
         }
     }
 
-    /// Whether a sighting is not held yet.
-    pub fn is_new(&self, seen: &CrashSighting) -> bool {
-        self.suspects.get(&seen.request).is_none_or(|suspect| {
-            !suspect.is_quarantined() && !suspect.engines.contains(&seen.engine)
+    /// Whether a sighting is not recorded yet.
+    pub fn is_new(&self, sighting: &CrashSighting) -> bool {
+        self.suspects.get(&sighting.request).is_none_or(|suspect| {
+            !suspect.is_quarantined() && !suspect.engines.contains(&sighting.engine)
         })
     }
 
-    fn see(&mut self, seen: CrashSighting) {
-        if !self.is_new(&seen) {
+    fn record_crash(&mut self, sighting: CrashSighting) {
+        if !self.is_new(&sighting) {
             return;
         }
-        if !self.suspects.contains_key(&seen.request) && self.suspects.len() >= MAX_SUSPECTS {
-            self.forget_one();
+        if !self.suspects.contains_key(&sighting.request) && self.suspects.len() >= MAX_SUSPECTS {
+            self.evict_one();
         }
         self.next_order += 1;
-        let suspect = self.suspects.entry(seen.request).or_default();
+        let suspect = self.suspects.entry(sighting.request).or_default();
         suspect.order = self.next_order;
-        suspect.engines.insert(seen.engine);
+        suspect.engines.insert(sighting.engine);
     }
 
-    /// Makes room: the request with the fewest engines goes, the oldest among equals.
-    fn forget_one(&mut self) {
-        let least = self.suspects.iter().min_by_key(|(_, held)| (held.engines.len(), held.order));
-        if let Some(request) = least.map(|(request, _)| *request) {
+    /// Evicts the request with the fewest engines, among equals the oldest.
+    fn evict_one(&mut self) {
+        let evicted =
+            self.suspects.iter().min_by_key(|(_, suspect)| (suspect.engines.len(), suspect.order));
+        if let Some(request) = evicted.map(|(request, _)| *request) {
             self.suspects.remove(&request);
         }
     }
 
-    fn still_runs(&mut self, engine: &BackEndName) {
+    fn revoke_engine(&mut self, engine: &BackEndName) {
         self.suspects.retain(|_, suspect| {
             suspect.engines.remove(engine);
             !suspect.engines.is_empty()
         });
     }
 
-    /// Lets a request in again. One engine that ends under it is then enough.
+    /// Ends the quarantine of a request. One more crash under it renews the quarantine.
     fn release(&mut self, request: &RequestFingerprint) {
-        if let Some(suspect) = self.suspects.get_mut(request).filter(|held| held.is_quarantined()) {
+        if let Some(suspect) =
+            self.suspects.get_mut(request).filter(|suspect| suspect.is_quarantined())
+        {
             suspect.engines.pop_first();
             suspect.releases += 1;
         }
--- a/crates/gateway-core/src/route_table.rs
+++ b/crates/gateway-core/src/route_table.rs
@@ -1,11 +1,11 @@
-//! Look-ups in a configuration.
+//! Lookups in a configuration.
 
 use crate::config::{Route, RoutingConfig, Tenant};
 use stackpost_types::{Digest, ServiceName};
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-/// A configuration with the indexes that requests need.
+/// A configuration with indexes for the lookups of each request.
 #[derive(Clone, Debug)]
 pub struct RouteTable {
     config: Arc<RoutingConfig>,
@@ -14,29 +14,30 @@
     by_key: HashMap<String, usize>,
 }
 
-/// Who a request comes from.
+/// The tenant that a key belongs to.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum TenantMatch<'a> {
-    /// No key is needed.
+    /// The configuration has no tenants, so no key is needed.
     NotNeeded,
-    /// The key's tenant.
+    /// The tenant with the key.
     Known(&'a Tenant),
-    /// No tenant has the key, or there was none.
+    /// No tenant has the key, or no key was given.
     Unknown,
 }
 
-/// What the configuration says of a request.
+/// Whether the configuration admits a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Admission<'a> {
     /// No route matches.
     NoRoute,
-    /// The key is not known.
+    /// The key is unknown.
     UnknownKey,
-    /// The request may go on.
+    /// The request is admitted.
     Admitted {
         /// Its route.
         route: &'a Route,
-        /// Its tenant, if the configuration has any and the route needs one.
+        /// Its tenant; `None` if the configuration has no tenants, or if the route is public and
+        /// the key is unknown.
         tenant: Option<&'a Tenant>,
     },
 }
@@ -103,7 +104,8 @@
 }
 
 impl Route {
-    /// The service for one request: by the weights, and always the same for the same request.
+    /// The service for one request: chosen by the weights, and always the same for the same
+    /// request.
     pub fn service_for(&self, request_id: &str) -> &ServiceName {
         let total: u64 = self.split.iter().map(|part| part.weight).sum();
         let mut point = Digest::of(&[request_id.as_bytes()]).to_u64() % total.max(1);
@@ -125,7 +127,7 @@
 }
 
 impl RouteTable {
-    /// Routes of every service, for figures and logs.
+    /// Number of routes of every service, for metrics and logs.
     pub fn routes_by_service(&self) -> BTreeMap<&ServiceName, usize> {
         let mut counts = BTreeMap::new();
         for part in self.config.routes.iter().flat_map(|route| &route.split) {
--- a/crates/gateway-core/src/router_lists.rs
+++ b/crates/gateway-core/src/router_lists.rs
@@ -1,41 +1,44 @@
-//! Which routers are there, by what several control processes hear.
+//! The running routers, as reported by several control processes.
 //!
-//! A router counts as there while any control process hears it, so that all routers that hear the same processes take the
-//! same ones for there. What a process said before its connection was lost counts a little longer: one that has just
-//! started hears few routers yet, and if all of them did, each router would take itself for the only one.
+//! A router counts as running while any connected control process reports it, so that all routers
+//! that are connected to the same processes know the same routers. The last list of a process stays
+//! valid for some time after its connection is lost: a process that has just started reports only a
+//! few routers, and if all of them had just started, each router would take itself for the only
+//! one.
 
 use serde::{Deserialize, Serialize};
 use stackpost_types::{Millis, Timestamp, ZoneName};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// Routers find a control process that has started within this time.
-const LOST_LISTS_KEPT: Millis = Millis(2_000);
+/// Time for which the list of a disconnected control process stays valid while another process is
+/// connected. Routers connect to a control process that has started within this time.
+const DISCONNECTED_LIST_TTL: Millis = Millis(2_000);
 
-/// A router and where other routers find it.
+/// A router's zone and the address at which other routers connect to it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RouterEndpoint {
     /// Its zone.
     pub zone: ZoneName,
-    /// Where it accepts connections of the fleet.
+    /// The address at which it accepts connections of the fleet.
     pub address: SocketAddr,
 }
 
-/// The routers of one zone, as they travel in messages.
+/// The routers of one zone, in the form used in messages.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneRouters {
     /// The zone.
     pub zone: ZoneName,
-    /// Where its routers accept connections of the fleet.
+    /// The addresses at which its routers accept connections of the fleet.
     pub addresses: Vec<SocketAddr>,
 }
 
 impl ZoneRouters {
-    /// Groups sites by zone.
+    /// Groups endpoints by zone.
     pub fn group(endpoints: &[RouterEndpoint]) -> Vec<Self> {
         let mut zones: BTreeMap<&ZoneName, Vec<SocketAddr>> = BTreeMap::new();
-        for site in endpoints {
-            zones.entry(&site.zone).or_default().push(site.address);
+        for endpoint in endpoints {
+            zones.entry(&endpoint.zone).or_default().push(endpoint.address);
         }
         let group = |(zone, addresses): (&ZoneName, Vec<SocketAddr>)| Self {
             zone: zone.clone(),
@@ -44,7 +47,7 @@
         zones.into_iter().map(group).collect()
     }
 
-    /// The single sites.
+    /// The single endpoints.
     pub fn endpoints(&self) -> impl Iterator<Item = RouterEndpoint> {
         self.addresses
             .iter()
@@ -53,16 +56,16 @@
 }
 
 #[derive(Clone, Debug)]
-struct List {
+struct RouterList {
     routers: Vec<RouterEndpoint>,
-    /// When the connection over which it came was lost.
-    lost_at: Option<Timestamp>,
+    /// When the connection over which the list was received was lost.
+    disconnected_at: Option<Timestamp>,
 }
 
-/// The lists of all control processes, each by the connection `L` over which it came.
+/// The lists of all control processes, each keyed by the connection `L` over which it was received.
 #[derive(Clone, Debug)]
 pub struct RouterLists<L> {
-    lists: BTreeMap<L, List>,
+    lists: BTreeMap<L, RouterList>,
 }
 
 impl<L> Default for RouterLists<L> {
@@ -72,26 +75,28 @@
 }
 
 impl<L: Ord + Copy> RouterLists<L> {
-    /// A control process tells which routers it hears.
+    /// Stores the list of routers that a control process reports.
     pub fn on_router_list(&mut self, link: L, routers: Vec<RouterEndpoint>) {
-        self.lists.insert(link, List { routers, lost_at: None });
+        self.lists.insert(link, RouterList { routers, disconnected_at: None });
     }
 
-    /// A connection is gone.
+    /// Records that a connection was lost.
     pub fn on_down(&mut self, now: Timestamp, link: L) {
         if let Some(list) = self.lists.get_mut(&link) {
-            list.lost_at = Some(now);
+            list.disconnected_at = Some(now);
         }
     }
 
-    /// The routers that are there, in order; `None` while nobody has told. Out of sight of all control processes what
-    /// they said last stands.
+    /// The running routers, in order; `None` until a list has been received. While no control
+    /// process is connected, the last lists stay valid.
     pub fn endpoints(&mut self, now: Timestamp) -> Option<BTreeSet<RouterEndpoint>> {
-        if self.lists.values().any(|list| list.lost_at.is_none()) {
-            let is_old = |list: &List| {
-                list.lost_at.is_some_and(|lost_at| now.since(lost_at) >= LOST_LISTS_KEPT)
+        if self.lists.values().any(|list| list.disconnected_at.is_none()) {
+            let is_expired = |list: &RouterList| {
+                list.disconnected_at.is_some_and(|disconnected_at| {
+                    now.since(disconnected_at) >= DISCONNECTED_LIST_TTL
+                })
             };
-            self.lists.retain(|_, list| !is_old(list));
+            self.lists.retain(|_, list| !is_expired(list));
         }
         if self.lists.is_empty() {
             return None;
@@ -99,10 +104,11 @@
         Some(self.lists.values().flat_map(|list| &list.routers).cloned().collect())
     }
 
-    /// The addresses of the routers that are there, but for `own`, in order; `None` while nobody has told.
+    /// The addresses of the running routers except `own`, in order; `None` until a list has been
+    /// received.
     pub fn others(&mut self, now: Timestamp, own: SocketAddr) -> Option<Vec<SocketAddr>> {
-        let there: BTreeSet<SocketAddr> =
-            self.endpoints(now)?.into_iter().map(|site| site.address).collect();
-        Some(there.into_iter().filter(|router| *router != own).collect())
+        let running: BTreeSet<SocketAddr> =
+            self.endpoints(now)?.into_iter().map(|endpoint| endpoint.address).collect();
+        Some(running.into_iter().filter(|router| *router != own).collect())
     }
 }
--- a/crates/gateway-core/src/slot_shares.rs
+++ b/crates/gateway-core/src/slot_shares.rs
@@ -1,13 +1,15 @@
 //! Which of the engines' slots belong to which router.
 //!
-//! An engine that has no room turns a request away, and with a wish for rest it is lost to that router for seconds,
-//! though it has room again after one request. So where engines ask for rest, what a fleet sends must fit what they
-//! have room for, without a message for each request: every announced slot belongs to one router, by rendezvous
-//! hashing over the routers that are there. A router fills its own slots and borrows a free one of another router when
-//! it has none.
+//! An engine without free capacity rejects a request, and if it also asks for a backoff, the router
+//! loses it for seconds although it has capacity again after one request. So where engines ask for
+//! backoffs, the requests of the whole fleet must fit the engines' capacity, without a message for
+//! each request: every announced slot belongs to one router, by rendezvous hashing over the running
+//! routers. A router uses its own slots first and borrows a free one of another router when it has
+//! none.
 //!
-//! Routers may differ for a moment in whom they take for present. A slot that two of them take for theirs costs a
-//! request that is turned away, one that nobody takes for its own rests for that moment; nothing depends on it.
+//! Routers may briefly disagree about which routers run. A slot that two routers count as their own
+//! costs a rejected request; one that no router counts as its own stays unused. Nothing else
+//! depends on it.
 
 use crate::directory::EngineRecord;
 use crate::hashing::mix;
@@ -15,16 +17,18 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// A service is held to its slots for so long after one of its engines has asked for rest. Longer than the rests that
-/// engines ask for (seconds), so that the fleet does not run into the next one as soon as the last is over.
-const HELD_TO_SLOTS: Millis = Millis(60_000);
-/// A router that does not answer is taken for absent for so long; its slots belong to the others meanwhile.
-const ABSENT_FOR: Millis = Millis(1_000);
+/// Time for which a service is limited to its slots after one of its engines has asked for a
+/// backoff. Longer than the requested backoffs (seconds), so that the fleet does not cause the next
+/// one as soon as the last is over.
+const SLOT_LIMIT_TIME: Millis = Millis(60_000);
+/// Time for which a router that does not respond counts as absent; its slots belong to the others
+/// meanwhile.
+const ABSENCE_TIME: Millis = Millis(1_000);
 
-/// An engine's part that belongs to this router.
+/// This router's share of an engine's slots.
 #[derive(Clone, Copy, Debug, Default)]
 struct Share {
-    /// Slots that the engine announced when this was worked out.
+    /// Slots that the engine announced when the share was computed.
     announced: u32,
     own: u32,
 }
@@ -33,16 +37,16 @@
 #[derive(Clone, Debug)]
 pub struct SlotShares {
     own: SocketAddr,
-    /// The other routers, each with what its rank for a slot is made of.
+    /// The other routers, each with its hash for rendezvous ranking.
     others: Vec<(SocketAddr, u64)>,
     absent: HashMap<SocketAddr, Timestamp>,
     shares: HashMap<BackEndName, Share>,
     used: HashMap<BackEndName, u32>,
-    held_until: HashMap<ServiceName, Timestamp>,
+    limited_until: HashMap<ServiceName, Timestamp>,
 }
 
 impl SlotShares {
-    /// For the router that others know by `own`.
+    /// Creates the view of the router with the address `own`.
     pub fn new(own: SocketAddr) -> Self {
         Self {
             own,
@@ -50,35 +54,35 @@
             absent: HashMap::new(),
             shares: HashMap::new(),
             used: HashMap::new(),
-            held_until: HashMap::new(),
+            limited_until: HashMap::new(),
         }
     }
 
-    /// Takes over which other routers there are. Returns whether that is news.
+    /// Sets the other routers. Returns whether they have changed.
     pub fn set_others(&mut self, others: &[SocketAddr]) -> bool {
         let known = self.others.iter().map(|(router, _)| router);
-        let is_news = !known.eq(others);
-        if is_news {
+        let has_changed = !known.eq(others);
+        if has_changed {
             self.others = others.iter().map(|router| (*router, router_hash(*router))).collect();
             self.shares.clear();
         }
-        is_news
+        has_changed
     }
 
-    /// A router does not answer.
+    /// Records that a router does not respond.
     pub fn on_no_answer(&mut self, now: Timestamp, router: SocketAddr) {
-        self.absent.insert(router, now + ABSENT_FOR);
+        self.absent.insert(router, now + ABSENCE_TIME);
         self.shares.clear();
     }
 
-    /// An engine of a service has asked for rest.
+    /// Records that an engine of a service has asked for a backoff.
     pub fn on_backoff(&mut self, now: Timestamp, service: &ServiceName) {
-        self.held_until.insert(service.clone(), now + HELD_TO_SLOTS);
+        self.limited_until.insert(service.clone(), now + SLOT_LIMIT_TIME);
     }
 
-    /// Whether what is sent to a service is held to its engines' slots.
+    /// Whether requests to a service are limited to its engines' slots.
     pub fn is_slot_limited(&self, now: Timestamp, service: &ServiceName) -> bool {
-        self.held_until.get(service).is_some_and(|until| now < *until)
+        self.limited_until.get(service).is_some_and(|until| now < *until)
     }
 
     /// Own slots of an engine that are free.
@@ -87,12 +91,13 @@
         self.own_slots(now, engine).saturating_sub(used)
     }
 
-    /// A request takes a slot of an engine, free or not: what is sent while nothing is held back counts, too.
+    /// Occupies a slot of an engine, free or not: requests sent while the service is not limited
+    /// count as well.
     pub fn take(&mut self, engine: &BackEndName) {
         *self.used.entry(engine.clone()).or_default() += 1;
     }
 
-    /// A request no longer needs its slot.
+    /// Releases the slot of a request.
     pub fn release_slot(&mut self, engine: &BackEndName) {
         if let Some(used) = self.used.get_mut(engine) {
             *used -= 1;
@@ -102,17 +107,18 @@
         }
     }
 
-    /// Slots of an engine in use that this router answers for.
+    /// Slots of an engine in use that this router manages.
     pub fn used(&self, engine: &BackEndName) -> u32 {
         self.used.get(engine).copied().unwrap_or_default()
     }
 
-    /// Routers that may lend a slot, each with what its rank is made of.
+    /// Routers that may lend a slot, each with its hash for rendezvous ranking.
     pub(crate) fn lenders(&self, now: Timestamp) -> impl Iterator<Item = (SocketAddr, u64)> {
         self.present(now).copied()
     }
 
-    /// The router that one key belongs to, present or not: the same one wherever the same routers are known.
+    /// The router that owns a key, whether it responds or not: the same one wherever the same
+    /// routers are known.
     pub fn owner_of(&self, key: u64) -> SocketAddr {
         let own = (self.own, router_hash(self.own));
         let all = self.others.iter().copied().chain([own]);
@@ -120,12 +126,12 @@
         first.map_or(self.own, |(router, _)| router)
     }
 
-    /// Every other router, present or not.
+    /// Every other router, whether it responds or not.
     pub(crate) fn others(&self) -> impl Iterator<Item = SocketAddr> {
         self.others.iter().map(|(router, _)| *router)
     }
 
-    /// How others know this router.
+    /// The address by which other routers know this one.
     pub fn own_address(&self) -> SocketAddr {
         self.own
     }
@@ -139,7 +145,7 @@
     }
 
     fn own_slots(&mut self, now: Timestamp, engine: &EngineRecord) -> u32 {
-        self.forget_absent(now);
+        self.expire_absences(now);
         let (name, announced) = (&engine.notice.engine, engine.notice.slots);
         match self.shares.get(name) {
             Some(share) if share.announced == announced => share.own,
@@ -159,7 +165,7 @@
         self.present(now).all(|other| rank(*other) < own)
     }
 
-    fn forget_absent(&mut self, now: Timestamp) {
+    fn expire_absences(&mut self, now: Timestamp) {
         let before = self.absent.len();
         self.absent.retain(|_, until| now < *until);
         if self.absent.len() < before {
@@ -168,7 +174,7 @@
     }
 }
 
-/// What the rank of a router is made of.
+/// A router's hash for rendezvous ranking.
 pub(crate) fn router_hash(router: SocketAddr) -> u64 {
     Digest::of(&[router.to_string().as_bytes()]).to_u64()
 }
--- a/crates/gateway-core/tests/backoff.rs
+++ b/crates/gateway-core/tests/backoff.rs
@@ -119,8 +119,9 @@
 }
 
 proptest! {
-    /// Whatever happens in whichever order: nothing is chosen within any of the rests that were asked for, and an
-    /// engine may be asked again a tenth of a second after the last of them at the latest.
+    /// Whatever happens in whichever order: nothing is chosen within any of the rests that were
+    /// asked for, and an engine may be asked again a tenth of a second after the last of them at
+    /// the latest.
     #[test]
     fn every_rest_is_kept_and_ends(events in prop::collection::vec(event(), 1..60)) {
         let mut now = Timestamp(1_000);
--- a/crates/gateway-core/tests/departures.rs
+++ b/crates/gateway-core/tests/departures.rs
@@ -1,4 +1,5 @@
-//! What engines say of their end: the words that the control replicas keep, and the directories that follow them.
+//! What engines say of their end: the words that the control replicas keep, and the directories
+//! that follow them.
 
 use proptest::prelude::*;
 use stackpost_gateway_core::*;
@@ -153,9 +154,10 @@
 }
 
 proptest! {
-    /// An engine speaks in order; its words reach processes in any order, some of them more than once. Once each was heard
-    /// and written down, every directory holds what the engine said last, whichever process is asked: one that heard the
-    /// announcements, one that heard some of them, and one that started last and was told what is written down alone.
+    /// An engine speaks in order; its words reach processes in any order, some of them more than
+    /// once. Once each was heard and written down, every directory holds what the engine said last,
+    /// whichever process is asked: one that heard the announcements, one that heard some of them,
+    /// and one that started last and was told what is written down alone.
     #[test]
     fn every_process_ends_with_what_the_engine_said_last(
         spoken in spoken(),
--- a/crates/gateway-core/tests/engine_permits.rs
+++ b/crates/gateway-core/tests/engine_permits.rs
@@ -1,8 +1,10 @@
-//! Whether a request may be sent to an engine, by the rate that the engine states, over many routers.
+//! Whether a request may be sent to an engine, by the rate that the engine states, over many
+//! routers.
 //!
-//! The failure: what an engine states of the requests a second that it takes from all routers was not read, so two engines in need
-//! got four a second where they had stated 1.2 and 1.4. Were it kept by each router for itself, eight routers would
-//! still send eight times as much: the rate has to be spent in one place.
+//! The failure: what an engine states of the requests a second that it takes from all routers was
+//! not read, so two engines in need got four a second where they had stated 1.2 and 1.4. Were it
+//! kept by each router for itself, eight routers would still send eight times as much: the rate has
+//! to be spent in one place.
 
 use proptest::prelude::*;
 use stackpost_gateway_core::*;
@@ -249,7 +251,8 @@
     assert!((0..64).all(|lot| !lenders(&mut permits, lot).contains(&address(3))));
 }
 
-/// Without it a router that had just started lent slots of an engine whose statement it had not heard.
+/// Without it a router that had just started lent slots of an engine whose statement it had not
+/// heard.
 #[test]
 fn of_an_engine_that_states_a_rate_only_its_owners_permit_counts() {
     let engine = record(1);
@@ -290,9 +293,10 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(200))]
 
-    /// Routers end, come back and hear of it late; permits are asked for where each router believes the owner to be. In
-    /// no window does the engine get more than one and a half times its rate and five requests, as long as routers
-    /// differ for no longer than a second. Once they agree, whoever is there gets a permit in time.
+    /// Routers end, come back and hear of it late; permits are asked for where each router believes
+    /// the owner to be. In no window does the engine get more than one and a half times its rate
+    /// and five requests, as long as routers differ for no longer than a second. Once they agree,
+    /// whoever is there gets a permit in time.
     #[test]
     fn the_fleet_sends_no_more_than_is_stated(
         milli_rps in 100_u32..20_000,
--- a/crates/gateway-core/tests/engines.rs
+++ b/crates/gateway-core/tests/engines.rs
@@ -112,8 +112,8 @@
     assert_eq!(state_of(&directory, "f9"), EngineState::Ready);
 }
 
-/// That an engine was replaced is concluded from its successor's announcement, not known: others come
-/// to it themselves, or take it back when it is announced on.
+/// That an engine was replaced is concluded from its successor's announcement, not known: others
+/// come to it themselves, or take it back when it is announced on.
 #[test]
 fn a_conclusion_is_not_handed_on_as_a_farewell() {
     let mut directory = EngineDirectory::default();
--- a/crates/gateway-core/tests/load_shedding.rs
+++ b/crates/gateway-core/tests/load_shedding.rs
@@ -12,8 +12,8 @@
     "plain".into()
 }
 
-/// Requests of these classes, so many a second each, for twenty seconds before engines that take `rate` a second in all.
-/// Returns how many of each got a permit a second in the second half.
+/// Requests of these classes, so many a second each, for twenty seconds before engines that take
+/// `rate` a second in all. Returns how many of each got a permit a second in the second half.
 fn play(classes: &[(RequestClass, u64)], rate: u32) -> BTreeMap<RequestClass, f64> {
     let mut shedding = LoadShedder::default();
     let owned = RequestRate::from_milli_rps(rate * 1_000);
--- a/crates/gateway-core/tests/quarantine.rs
+++ b/crates/gateway-core/tests/quarantine.rs
@@ -214,7 +214,8 @@
     assert!(memory.is_quarantined(Timestamp(11_000), &request(1), IN_TOUCH), "it is long ago");
 }
 
-/// A caller is told when the quarantine is over, and soon as long as the leader may still take it back.
+/// A caller is told when the quarantine is over, and soon as long as the leader may still take it
+/// back.
 #[test]
 fn callers_are_told_how_long_a_quarantine_goes_on() {
     let mut memory = CrashTracker::default();
@@ -285,12 +286,14 @@
     );
 }
 
-/// What happens to two requests at one router: one ends engines, the other one is broken off now and then.
+/// What happens to two requests at one router: one ends engines, the other one is broken off now
+/// and then.
 #[derive(Clone, Copy, Debug)]
 enum Event {
     /// The guilty one comes. The engine's address may go on taking connections for its next life.
     Guilty { takes_connections: bool },
-    /// The other one comes, and its connection breaks or not. The engine may be out of reach for the look at it.
+    /// The other one comes, and its connection breaks or not. The engine may be out of reach for
+    /// the look at it.
     Innocent { breaks: bool, takes_connections: bool },
     /// Time passes.
     Pass(u64),
@@ -342,8 +345,8 @@
         }
     }
 
-    /// Lets a request in at the next engine, unless it is refused. Returns whether it was let in. A next life of an engine
-    /// that ended is heard of at once.
+    /// Lets a request in at the next engine, unless it is refused. Returns whether it was let in. A
+    /// next life of an engine that ended is heard of at once.
     fn send(&mut self, of: u64, ends_engine: bool, breaks: bool, takes_connections: bool) -> bool {
         if self.memory.is_quarantined(self.now, &request(of), IN_TOUCH) {
             return false;
@@ -366,8 +369,9 @@
 }
 
 proptest! {
-    /// One that ends engines is let in three times, whatever happens to others; one that does not is let in again once
-    /// the engines have announced themselves and its sightings at this router are two seconds old.
+    /// One that ends engines is let in three times, whatever happens to others; one that does not
+    /// is let in again once the engines have announced themselves and its sightings at this router
+    /// are two seconds old.
     #[test]
     fn the_guilty_are_let_in_three_times_and_innocents_always_come_back(
         events in prop::collection::vec(event(), 1..80),
@@ -446,7 +450,8 @@
     }
 }
 
-/// Without a word among routers each of them lets the request end three engines of its own while no leader can be reached.
+/// Without a word among routers each of them lets the request end three engines of its own while no
+/// leader can be reached.
 #[test]
 fn routers_that_reach_no_leader_learn_of_one_another() {
     let (now, request) = (Timestamp(10_000), request(1));
--- a/crates/gateway-core/tests/router_lists.rs
+++ b/crates/gateway-core/tests/router_lists.rs
@@ -32,8 +32,8 @@
     assert_eq!(others(&mut lists, 0), [3, 4]);
 }
 
-/// Without the time for lost lists, a router that meets the first of the control processes after all of them have ended would
-/// own every engine, as would each of the others.
+/// Without the time for lost lists, a router that meets the first of the control processes after
+/// all of them have ended would own every engine, as would each of the others.
 #[test]
 fn a_control_process_that_has_just_started_does_not_make_the_other_routers_vanish() {
     let mut lists = RouterLists::default();
