--- a/crates/gateway-core/src/crash_tracker.rs
+++ b/crates/gateway-core/src/crash_tracker.rs
@@ -16,7 +16,7 @@
 //!
 //! A request that crashes engines never succeeds. So one that has succeeded recently is no suspect
 //! here, whatever other sightings there are, and the leader is notified: a quarantined request is
-//! rejected and could no longer prove its innocence.
+//! rejected, so no later attempt could show that it is harmless.
 
 use crate::fingerprint::RequestFingerprint;
 use crate::quarantine::{
--- a/crates/gateway-core/src/placement.rs
+++ b/crates/gateway-core/src/placement.rs
@@ -1,6 +1,6 @@
 //! The cost of placing a generation on an engine.
 //!
-//! Three kinds of harm are estimated for each engine: to the request, which may start late or be
+//! Three kinds of cost are estimated for each engine: to the request, which may start late or be
 //! stalled by others; to the running streams, which are stalled while its prompt is prefilled; and
 //! to all, by recomputing a prefix that another engine has cached. All of them are counted in late
 //! requests, weighted by request. For the weights see docs/DECISIONS.md.
--- a/crates/gateway-core/src/quarantine.rs
+++ b/crates/gateway-core/src/quarantine.rs
@@ -30,7 +30,7 @@
 /// dozens; with the names of engines this is about 200 KB.
 pub const MAX_SUSPECTS: usize = 2_048;
 /// First quarantine of a request. Each release may cost an engine, and a copy that is in flight
-/// beside it another one; an innocent request is cleared earlier by any of its retries that
+/// beside it another one; a harmless request is cleared earlier by any of its retries that
 /// succeeds.
 pub const INITIAL_QUARANTINE: Millis = Millis(300_000);
 /// Limit on the doublings of the quarantine: 160 minutes.
--- a/crates/gateway-core/src/rate_bucket.rs
+++ b/crates/gateway-core/src/rate_bucket.rs
@@ -6,7 +6,7 @@
 /// millisecond.
 const UNITS_PER_REQUEST: u64 = 1_000_000;
 /// Burst beyond one request, as the time for which unused permits accumulate. Smooths random
-/// arrivals, and is far less than engines can bear in a few seconds.
+/// arrivals, and is far below the load that engines tolerate within a few seconds.
 const BURST_TIME: Millis = Millis(250);
 /// Time after which an engine may be sent one request, however low its rate: only a response can
 /// show that the rate limit has ended.
--- a/crates/gateway-core/tests/account_owners.rs
+++ b/crates/gateway-core/tests/account_owners.rs
@@ -1,4 +1,4 @@
-//! Which router keeps a zone's account of a tenant.
+//! The owner of a zone's account of a tenant.
 
 use stackpost_gateway_core::{AccountOwners, RouterEndpoint};
 use stackpost_types::{Millis, TenantName, Timestamp, ZoneName};
@@ -10,14 +10,14 @@
 const ROUTERS_PER_ZONE: u8 = 20;
 const TENANTS: usize = 40;
 
-fn site(zone: usize, router: u8) -> RouterEndpoint {
+fn endpoint(zone: usize, router: u8) -> RouterEndpoint {
     let address = ([10, 0, zone as u8, router], 80).into();
     RouterEndpoint { zone: ZoneName::new(ZONES[zone]), address }
 }
 
 fn endpoints() -> BTreeSet<RouterEndpoint> {
     let zones = 0..ZONES.len();
-    zones.flat_map(|zone| (0..ROUTERS_PER_ZONE).map(move |router| site(zone, router))).collect()
+    zones.flat_map(|zone| (0..ROUTERS_PER_ZONE).map(move |router| endpoint(zone, router))).collect()
 }
 
 fn owners_at(own: &RouterEndpoint, endpoints: &BTreeSet<RouterEndpoint>) -> AccountOwners {
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn one_router_of_each_zone_keeps_the_account_and_all_others_ask_it() {
+fn each_zone_has_one_owner_that_the_other_routers_ask() {
     let endpoints = endpoints();
     let views: Vec<(RouterEndpoint, AccountOwners)> =
         endpoints.iter().map(|own| (own.clone(), owners_at(own, &endpoints))).collect();
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn the_accounts_are_spread_over_the_routers() {
+fn accounts_are_spread_over_the_routers() {
     let endpoints = endpoints();
     let most = endpoints
         .iter()
@@ -62,18 +62,23 @@
             tenants().filter(|tenant| view.is_owner(NOW, tenant)).count()
         })
         .max();
-    assert!(most <= Some(3 * TENANTS / usize::from(ROUTERS_PER_ZONE)), "{most:?} at one router");
+    assert!(
+        most <= Some(3 * TENANTS / usize::from(ROUTERS_PER_ZONE)),
+        "{most:?} accounts at one router"
+    );
 }
 
 #[test]
-fn a_router_that_does_not_answer_is_passed_over_for_a_while() {
+fn an_unresponsive_router_is_skipped_temporarily() {
     let endpoints = endpoints();
     for tenant in tenants() {
         let view = |own: &RouterEndpoint| owners_at(own, &endpoints);
         let second = |own: &RouterEndpoint| view(own).lenders_in_zone(NOW, &tenant).get(1).copied();
-        let asker =
-            endpoints.iter().find(|own| second(own).is_some()).expect("two others are asked");
-        let mut owners = view(asker);
+        let borrower = endpoints
+            .iter()
+            .find(|own| second(own).is_some())
+            .expect("a router with two lenders in its zone");
+        let mut owners = view(borrower);
         let asked = owners.lenders_in_zone(NOW, &tenant);
         owners.on_no_answer(NOW, asked[0]);
         assert_eq!(owners.lenders_in_zone(NOW, &tenant)[0], asked[1]);
@@ -82,8 +87,8 @@
 }
 
 #[test]
-fn a_router_alone_keeps_every_account() {
-    let own = site(0, 1);
+fn a_single_router_owns_every_account() {
+    let own = endpoint(0, 1);
     let nothing_known = AccountOwners::default();
     let unlisted = owners_at(&own, &BTreeSet::new());
     for tenant in tenants() {
@@ -93,20 +98,25 @@
 }
 
 #[test]
-fn out_of_touch_the_owner_of_each_other_zone_is_asked() {
+fn lenders_in_other_zones_are_their_owners_in_zone_order() {
     let endpoints = endpoints();
-    let own = site(1, 3);
+    let own = endpoint(1, 3);
     let view = owners_at(&own, &endpoints);
     for tenant in tenants() {
-        let elsewhere = view.lenders_in_other_zones(NOW, &tenant);
-        let zones: Vec<&str> = elsewhere
+        let lenders = view.lenders_in_other_zones(NOW, &tenant);
+        let zones: Vec<&str> = lenders
             .iter()
-            .map(|lender| endpoints.iter().find(|site| site.address == *lender).expect("known"))
-            .map(|site| site.zone.as_str())
+            .map(|lender| {
+                endpoints
+                    .iter()
+                    .find(|endpoint| endpoint.address == *lender)
+                    .expect("the lender is one of the endpoints")
+            })
+            .map(|endpoint| endpoint.zone.as_str())
             .collect();
-        assert_eq!(zones, ["west", "east"], "the zone after the own one first");
-        let at_lender = owners_at(&site(2, 0), &endpoints);
+        assert_eq!(zones, ["west", "east"], "the zone after the own one comes first");
+        let at_lender = owners_at(&endpoint(2, 0), &endpoints);
         let in_west = at_lender.lenders_in_zone(NOW, &tenant).first().copied();
-        assert_eq!(in_west.unwrap_or(site(2, 0).address), elsewhere[0], "the owner there");
+        assert_eq!(in_west.unwrap_or(endpoint(2, 0).address), lenders[0], "the owner in that zone");
     }
 }
--- a/crates/gateway-core/tests/backoff.rs
+++ b/crates/gateway-core/tests/backoff.rs
@@ -1,4 +1,4 @@
-//! Engines that ask to be left alone: what they asked for holds, and callers come back one by one.
+//! Backoffs of engines: no request is sent during a backoff, and the engine is probed after it.
 
 use proptest::prelude::*;
 use stackpost_gateway_core::*;
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn the_first_end_of_a_rest_is_told_if_every_engine_rests() {
+fn if_all_engines_back_off_the_soonest_end_is_returned() {
     let (now, service) = (Timestamp(1_000), ServiceName::new("plain"));
     let directory = directory(now);
     let mut picker = EnginePicker::new("hall".into());
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn an_engine_whose_rest_is_over_is_tried_with_one_request_first() {
+fn an_engine_is_probed_with_one_request_after_its_backoff() {
     let now = Timestamp(1_000);
     let directory = directory(now);
     let mut picker = EnginePicker::new("hall".into());
@@ -72,20 +72,20 @@
     });
     let after = Timestamp(1_500);
     for _ in ENGINES {
-        let engine = pick(&picker, after, &directory).expect("one that was not tried yet");
+        let engine = pick(&picker, after, &directory).expect("an engine that was not probed yet");
         picker.on_start(after, &engine, None);
     }
-    assert_eq!(pick(&picker, after, &directory), None, "each has one request");
-    // An answer to what was sent before the rest shows nothing; one to a request after it does.
+    assert_eq!(pick(&picker, after, &directory), None, "each engine has been probed once");
+    // Accepting a request sent before the backoff does not end the probing; one sent after it does.
     picker.on_accepted(&"e1".into(), now);
     assert_eq!(pick(&picker, after, &directory), None);
     picker.on_accepted(&"e1".into(), after);
     assert_eq!(pick(&picker, after, &directory), Some("e1".into()));
-    assert!(pick(&picker, Timestamp(1_600), &directory).is_some(), "the next try of the others");
+    assert!(pick(&picker, Timestamp(1_600), &directory).is_some(), "the next probe of the others");
 }
 
 #[test]
-fn the_next_life_of_an_engine_owes_nothing_to_the_one_before() {
+fn a_backoff_does_not_apply_to_the_next_incarnation() {
     let now = Timestamp(1_000);
     let mut directory = EngineDirectory::default();
     let (first, second) =
@@ -95,55 +95,59 @@
     picker.on_backoff(now, &first, Millis(3_000));
     picker.on_leaving(&first);
     announce(&mut directory, now, first.as_str(), 8);
-    assert_eq!(pick(&picker, now, &directory), None, "whatever it announces meanwhile");
+    assert_eq!(
+        pick(&picker, now, &directory),
+        None,
+        "announcements do not end a backoff or departure"
+    );
     announce(&mut directory, now, second.as_str(), 1);
     assert_eq!(pick(&picker, now, &directory), Some(second));
 }
 
 #[derive(Clone, Copy, Debug)]
 enum Event {
-    Rest(usize, u64),
+    Backoff(usize, u64),
     Sent(usize),
-    Taken(usize),
-    Pass(u64),
+    Accepted(usize),
+    TimePasses(u64),
 }
 
 fn event() -> impl Strategy<Value = Event> {
     let engine = 0..ENGINES.len();
     prop_oneof![
-        (engine.clone(), 0_u64..5_000).prop_map(|(engine, rest)| Event::Rest(engine, rest)),
+        (engine.clone(), 0_u64..5_000)
+            .prop_map(|(engine, duration)| Event::Backoff(engine, duration)),
         engine.clone().prop_map(Event::Sent),
-        engine.prop_map(Event::Taken),
-        (0_u64..900).prop_map(Event::Pass),
+        engine.prop_map(Event::Accepted),
+        (0_u64..900).prop_map(Event::TimePasses),
     ]
 }
 
 proptest! {
-    /// Whatever happens in whichever order: nothing is chosen within any of the rests that were
-    /// asked for, and an engine may be asked again a tenth of a second after the last of them at
-    /// the latest.
+    /// For any order of events, no engine is chosen during any of its backoffs, and an engine may
+    /// be asked at most 100 ms after the first backoff ends.
     #[test]
-    fn every_rest_is_kept_and_ends(events in prop::collection::vec(event(), 1..60)) {
+    fn every_backoff_is_respected_and_ends(events in prop::collection::vec(event(), 1..60)) {
         let mut now = Timestamp(1_000);
         let directory = directory(now);
         let mut picker = EnginePicker::new("hall".into());
         let mut ends = [Timestamp(0); ENGINES.len()];
         for event in events {
             match event {
-                Event::Rest(engine, rest) => {
-                    picker.on_backoff(now, &ENGINES[engine].into(), Millis(rest));
-                    ends[engine] = ends[engine].max(now + Millis(rest));
+                Event::Backoff(engine, duration) => {
+                    picker.on_backoff(now, &ENGINES[engine].into(), Millis(duration));
+                    ends[engine] = ends[engine].max(now + Millis(duration));
                 }
                 Event::Sent(engine) => picker.on_start(now, &ENGINES[engine].into(), None),
-                Event::Taken(engine) => picker.on_accepted(&ENGINES[engine].into(), now),
-                Event::Pass(time) => now = now + Millis(time),
+                Event::Accepted(engine) => picker.on_accepted(&ENGINES[engine].into(), now),
+                Event::TimePasses(time) => now = now + Millis(time),
             }
-            let resting = |engine: usize| ends[engine] > now;
+            let is_backing_off = |engine: usize| ends[engine] > now;
             if let Some(chosen) = pick(&picker, now, &directory) {
                 let chosen = ENGINES.iter().position(|engine| chosen.as_str() == *engine);
-                prop_assert!(!resting(chosen.expect("one of them")));
+                prop_assert!(!is_backing_off(chosen.expect("a known engine was chosen")));
             } else {
-                let soonest = ends.iter().min().expect("there are some").max(&now);
+                let soonest = ends.iter().min().expect("there are engines").max(&now);
                 prop_assert!(pick(&picker, *soonest + Millis(100), &directory).is_some());
             }
         }
--- a/crates/gateway-core/tests/departures.rs
+++ b/crates/gateway-core/tests/departures.rs
@@ -1,5 +1,5 @@
-//! What engines say of their end: the words that the control replicas keep, and the directories
-//! that follow them.
+//! Departures of engines: the records of the control replicas, and the directories that follow
+//! them.
 
 use proptest::prelude::*;
 use stackpost_gateway_core::*;
@@ -7,7 +7,7 @@
 
 const NOW: Timestamp = Timestamp(10_000);
 
-fn word(engine: &str, sequence: u64, state: EngineState) -> DepartureRecord {
+fn departure(engine: &str, sequence: u64, state: EngineState) -> DepartureRecord {
     DepartureRecord { engine: BackEndName::new(engine), state, sequence }
 }
 
@@ -25,7 +25,7 @@
     }
 }
 
-fn said(records: &[DepartureRecord]) -> Departures {
+fn replicated(records: &[DepartureRecord]) -> Departures {
     let mut departures = Departures::default();
     departures.apply(DepartureChange::Announced(records.to_vec()));
     departures
@@ -36,40 +36,47 @@
 }
 
 #[test]
-fn a_word_is_covered_once_it_or_a_newer_one_is_held() {
-    let draining = word("e1", 6, EngineState::Draining);
+fn a_record_is_covered_by_itself_or_a_newer_one() {
+    let draining = departure("e1", 6, EngineState::Draining);
     assert!(!Departures::default().covers(&draining));
-    assert!(said(std::slice::from_ref(&draining)).covers(&draining));
-    assert!(said(&[word("e1", 1, EngineState::Gone)]).covers(&draining));
-    let returned = [draining.clone(), word("e1", 7, EngineState::Ready)];
-    assert!(said(&returned).covers(&draining));
-    let again = [&returned[..], &[word("e1", 8, EngineState::Draining)]].concat();
-    assert!(!said(&returned).covers(&again[2]));
-    assert_eq!(said(&again).get(&"e1".into()), Some(&again[2]));
+    assert!(replicated(std::slice::from_ref(&draining)).covers(&draining));
+    assert!(replicated(&[departure("e1", 1, EngineState::Gone)]).covers(&draining));
+    let returned = [draining.clone(), departure("e1", 7, EngineState::Ready)];
+    assert!(replicated(&returned).covers(&draining));
+    let again = [&returned[..], &[departure("e1", 8, EngineState::Draining)]].concat();
+    assert!(!replicated(&returned).covers(&again[2]));
+    assert_eq!(replicated(&again).get(&"e1".into()), Some(&again[2]));
 }
 
 #[test]
-fn a_word_that_says_nothing_new_changes_nothing() {
-    let mut departures = said(&[word("e1", 6, EngineState::Draining)]);
+fn an_outdated_record_changes_nothing() {
+    let mut departures = replicated(&[departure("e1", 6, EngineState::Draining)]);
     let revision = departures.revision();
     let old = [
-        word("e1", 6, EngineState::Draining),
-        word("e1", 9, EngineState::Draining),
-        word("e1", 5, EngineState::Ready),
-        word("e2", 5, EngineState::Ready),
+        departure("e1", 6, EngineState::Draining),
+        departure("e1", 9, EngineState::Draining),
+        departure("e1", 5, EngineState::Ready),
+        departure("e2", 5, EngineState::Ready),
     ];
     assert!(!departures.apply(DepartureChange::Announced(old.to_vec())));
     assert_eq!(departures.revision(), revision);
-    assert!(departures.apply(DepartureChange::Announced(vec![word("e1", 0, EngineState::Gone)])));
-    let late = vec![word("e1", 99, EngineState::Ready)];
-    assert!(!departures.apply(DepartureChange::Announced(late)), "what has left stays gone");
+    assert!(departures.apply(DepartureChange::Announced(vec![departure(
+        "e1",
+        0,
+        EngineState::Gone
+    )])));
+    let late = vec![departure("e1", 99, EngineState::Ready)];
+    assert!(
+        !departures.apply(DepartureChange::Announced(late)),
+        "an engine that has left stays gone"
+    );
 }
 
 #[test]
-fn the_oldest_words_give_way_and_forgetting_is_a_change() {
+fn the_oldest_records_are_evicted_and_expiry_is_a_change() {
     let mut departures = Departures::default();
     for number in 0..MAX_DEPARTURES + 3 {
-        departures.apply(DepartureChange::Announced(vec![word(
+        departures.apply(DepartureChange::Announced(vec![departure(
             &format!("e{number}"),
             1,
             EngineState::Gone,
@@ -83,29 +90,29 @@
 }
 
 #[test]
-fn a_directory_that_has_not_heard_the_announcement_keeps_to_what_is_written_down() {
+fn a_committed_departure_applies_without_the_announcement() {
     let mut directory = EngineDirectory::follower();
     directory.merge(NOW, notice("e1", 5, EngineState::Ready));
-    assert!(directory.apply_departure(NOW, &word("e1", 6, EngineState::Draining)));
-    assert!(!directory.apply_departure(NOW, &word("e1", 6, EngineState::Draining)));
+    assert!(directory.apply_departure(NOW, &departure("e1", 6, EngineState::Draining)));
+    assert!(!directory.apply_departure(NOW, &departure("e1", 6, EngineState::Draining)));
     assert_eq!(directory.merge(NOW, notice("e1", 4, EngineState::Ready)), MergeOutcome::Stale);
     assert_eq!(state_of(&directory, "e1"), Some(EngineState::Draining));
-    assert!(directory.apply_departure(NOW, &word("e1", 0, EngineState::Gone)));
+    assert!(directory.apply_departure(NOW, &departure("e1", 0, EngineState::Gone)));
     assert_eq!(directory.merge(NOW, notice("e1", 9, EngineState::Ready)), MergeOutcome::Stale);
 }
 
 #[test]
-fn a_directory_that_knows_nobody_keeps_out_who_has_left() {
+fn an_empty_directory_rejects_late_notices_after_a_departure() {
     let mut directory = EngineDirectory::default();
-    assert!(directory.apply_departure(NOW, &word("e1", 6, EngineState::Draining)));
-    assert!(directory.apply_departure(NOW, &word("e2", 6, EngineState::Gone)));
+    assert!(directory.apply_departure(NOW, &departure("e1", 6, EngineState::Draining)));
+    assert!(directory.apply_departure(NOW, &departure("e2", 6, EngineState::Gone)));
     for engine in ["e1", "e2"] {
         assert_eq!(
             directory.merge(NOW, notice(engine, 5, EngineState::Ready)),
             MergeOutcome::Stale
         );
     }
-    // Where the engine is, is learned from its next announcement.
+    // The engine's address becomes known with its next announcement.
     assert_eq!(
         directory.merge(NOW, notice("e1", 7, EngineState::Draining)),
         MergeOutcome::Refreshed
@@ -114,33 +121,34 @@
     assert_eq!(state_of(&directory, "e1"), Some(EngineState::Ready));
 }
 
-/// No address is known of them, so none of them stands in the place of another.
+/// Their address is a placeholder, so they must not count as announced at the same address.
 #[test]
-fn engines_that_are_known_by_name_only_do_not_replace_one_another() {
+fn engines_known_by_name_only_do_not_replace_one_another() {
     let mut directory = EngineDirectory::default();
     for engine in ["e1", "e2"] {
-        directory.apply_departure(NOW, &word(engine, 6, EngineState::Draining));
+        directory.apply_departure(NOW, &departure(engine, 6, EngineState::Draining));
     }
     assert_eq!(state_of(&directory, "e1"), Some(EngineState::Draining));
-    assert!(directory.notices(NOW).is_empty(), "they are not handed on");
+    assert!(directory.notices(NOW).is_empty(), "notices without an address are not passed on");
 }
 
 #[test]
-fn an_engine_that_says_ready_after_draining_is_used_again() {
+fn an_engine_that_is_ready_again_after_draining_is_used() {
     let mut directory = EngineDirectory::follower();
     directory.merge(NOW, notice("e1", 5, EngineState::Ready));
-    directory.apply_departure(NOW, &word("e1", 6, EngineState::Draining));
-    assert!(directory.apply_departure(NOW, &word("e1", 7, EngineState::Ready)));
+    directory.apply_departure(NOW, &departure("e1", 6, EngineState::Draining));
+    assert!(directory.apply_departure(NOW, &departure("e1", 7, EngineState::Ready)));
     assert_eq!(state_of(&directory, "e1"), Some(EngineState::Ready));
     assert!(
-        !directory.apply_departure(NOW, &word("e1", 6, EngineState::Draining)),
-        "told once more"
+        !directory.apply_departure(NOW, &departure("e1", 6, EngineState::Draining)),
+        "the older record was received again"
     );
     assert_eq!(state_of(&directory, "e1"), Some(EngineState::Ready));
 }
 
-/// One thing that an engine says, by its count; the last two kinds of call carry none of their own.
-fn spoken() -> impl Strategy<Value = Vec<EngineState>> {
+/// The successive states of one engine; the position is the sequence number. The leave call carries
+/// none, so `Gone` can only be the last.
+fn engine_states() -> impl Strategy<Value = Vec<EngineState>> {
     let state = prop_oneof![
         4 => Just(EngineState::Ready),
         2 => Just(EngineState::Draining),
@@ -154,22 +162,22 @@
 }
 
 proptest! {
-    /// An engine speaks in order; its words reach processes in any order, some of them more than
-    /// once. Once each was heard and written down, every directory holds what the engine said last,
-    /// whichever process is asked: one that heard the announcements, one that heard some of them,
-    /// and one that started last and was told what is written down alone.
+    /// An engine's announcements are in order, but reach the processes in any order, some more than
+    /// once. Once each was received and committed, every directory has the last state, whether its
+    /// process received the announcements, only some of them, or, having started last, only the
+    /// committed records.
     #[test]
-    fn every_process_ends_with_what_the_engine_said_last(
-        spoken in spoken(),
+    fn every_process_ends_with_the_engines_last_state(
+        engine_states in engine_states(),
         order in prop::collection::vec((0_usize..9, 0_usize..3), 30),
     ) {
-        let count = spoken.len();
+        let count = engine_states.len();
         let mut processes = [(); 3].map(|()| EngineDirectory::default());
         let mut departures = Departures::default();
         let all = (0..count).map(|index| (index, 0));
         for (index, process) in order.into_iter().chain(all).filter(|(index, _)| *index < count) {
             let sequence = index as u64 + 1;
-            let state = spoken[index];
+            let state = engine_states[index];
             match state {
                 EngineState::Gone => {
                     processes[process].mark_gone(NOW, &"e1".into());
@@ -178,47 +186,49 @@
                     processes[process].merge(NOW, notice("e1", sequence, state));
                 }
             }
-            // Whoever hears of a word has it written down unless it knows a newer one.
-            let known = processes[process].get(&"e1".into()).expect("known").notice.sequence;
+            // A process that receives a notice commits it unless it knows a newer one.
+            let known =
+                processes[process].get(&"e1".into()).expect("the engine is known").notice.sequence;
             if state == EngineState::Gone || known <= sequence {
-                departures.apply(DepartureChange::Announced(vec![word("e1", sequence, state)]));
+                departures
+                    .apply(DepartureChange::Announced(vec![departure("e1", sequence, state)]));
             }
             for directory in &mut processes {
-                for word in departures.since(0).records {
-                    directory.apply_departure(NOW, &word);
+                for departure in departures.since(0).records {
+                    directory.apply_departure(NOW, &departure);
                 }
             }
         }
-        let last = *spoken.last().expect("it says something");
-        let mut newcomer = EngineDirectory::default();
-        for word in departures.since(0).records {
-            newcomer.apply_departure(NOW, &word);
+        let last = *engine_states.last().expect("there is at least one state");
+        let mut new_process = EngineDirectory::default();
+        for departure in departures.since(0).records {
+            new_process.apply_departure(NOW, &departure);
         }
         let accepts_requests = |directory: &EngineDirectory| {
             state_of(directory, "e1").is_none_or(|state| state == EngineState::Ready)
         };
         prop_assert_eq!(accepts_requests(&processes[0]), last == EngineState::Ready);
-        for directory in processes[1..].iter().chain([&newcomer]) {
-            let may_take_work = last == EngineState::Ready;
-            prop_assert!(!accepts_requests(directory) || may_take_work, "{:?}", spoken);
+        for directory in processes[1..].iter().chain([&new_process]) {
+            let may_accept = last == EngineState::Ready;
+            prop_assert!(!accepts_requests(directory) || may_accept, "{:?}", engine_states);
         }
     }
 }
 
 #[test]
-fn a_follower_counts_news_with_a_gap_but_asks_for_what_is_missing() {
-    let mut departures = said(&[word("e1", 3, EngineState::Gone)]);
+fn a_delta_with_a_gap_applies_but_keeps_the_known_revision() {
+    let mut departures = replicated(&[departure("e1", 3, EngineState::Gone)]);
     let mut known = KnownDepartures::default();
     known.merge_delta(NOW, &departures.since(0));
-    departures.apply(DepartureChange::Announced(vec![word("e2", 3, EngineState::Gone)]));
+    departures.apply(DepartureChange::Announced(vec![departure("e2", 3, EngineState::Gone)]));
     let before_last = departures.revision();
-    departures.apply(DepartureChange::Announced(vec![word("e3", 3, EngineState::Gone)]));
+    departures.apply(DepartureChange::Announced(vec![departure("e3", 3, EngineState::Gone)]));
     known.merge_delta(NOW, &departures.since(before_last));
-    assert!(known.covers(&word("e3", 3, EngineState::Gone)));
-    assert_eq!(known.revision(), 1, "the second word is missing");
+    assert!(known.covers(&departure("e3", 3, EngineState::Gone)));
+    assert_eq!(known.revision(), 1, "the second record is missing");
     known.merge_delta(NOW, &departures.since(known.revision()));
-    assert!(known.covers(&word("e2", 3, EngineState::Gone)));
+    assert!(known.covers(&departure("e2", 3, EngineState::Gone)));
     assert_eq!(known.revision(), departures.revision());
     known.forget_old(NOW + Millis(400_000));
-    assert!(!known.covers(&word("e2", 3, EngineState::Gone)));
+    assert!(!known.covers(&departure("e2", 3, EngineState::Gone)));
 }
--- a/crates/gateway-core/tests/engine_incarnations.rs
+++ b/crates/gateway-core/tests/engine_incarnations.rs
@@ -1,4 +1,4 @@
-//! Engines that start again under their id: the newest life holds, whatever is heard when.
+//! Engines that restart under the same id: the newest incarnation wins, in any order of notices.
 
 use proptest::prelude::*;
 use stackpost_gateway_core::*;
@@ -7,16 +7,16 @@
 const ID: &str = "e1";
 const NOW: Timestamp = Timestamp(10_000);
 
-fn life(started_at_ms: u64) -> BackEndName {
+fn incarnation(started_at_ms: u64) -> BackEndName {
     BackEndName::of_incarnation(ID, Some(started_at_ms))
 }
 
 fn notice(started_at_ms: u64, sequence: u64, state: EngineState) -> EngineNotice {
     EngineNotice {
-        engine: life(started_at_ms),
+        engine: incarnation(started_at_ms),
         sequence,
         service: "models".into(),
-        // The address may be another one after a restart.
+        // The address may change with a restart.
         address: ([10, 0, 0, (started_at_ms % 200) as u8], 80).into(),
         zone: "hall".into(),
         slots: 64,
@@ -27,50 +27,50 @@
 }
 
 fn ready(directory: &EngineDirectory) -> Vec<&BackEndName> {
-    let taking = directory.iter().filter(|record| record.notice.state == EngineState::Ready);
-    taking.map(|record| &record.notice.engine).collect()
+    let ready_records = directory.iter().filter(|record| record.notice.state == EngineState::Ready);
+    ready_records.map(|record| &record.notice.engine).collect()
 }
 
 #[test]
-fn a_life_is_named_by_id_and_start() {
-    assert_eq!((life(7).id(), life(7).started_at_ms()), (ID, 7));
+fn an_incarnation_is_named_by_id_and_start_time() {
+    assert_eq!((incarnation(7).id(), incarnation(7).started_at_ms()), (ID, 7));
     let without = BackEndName::of_incarnation(ID, None);
     assert_eq!((without.as_str(), without.id(), without.started_at_ms()), (ID, ID, 0));
 }
 
 #[test]
-fn a_restarted_engine_is_heard_at_once_though_its_count_begins_anew() {
+fn a_restarted_engine_is_used_despite_its_lower_sequence() {
     let mut directory = EngineDirectory::default();
     directory.merge(NOW, notice(1, 90, EngineState::Ready));
     assert_eq!(directory.merge(NOW, notice(2, 1, EngineState::Ready)), MergeOutcome::Changed);
-    assert_eq!(ready(&directory), [&life(2)]);
+    assert_eq!(ready(&directory), [&incarnation(2)]);
 }
 
 #[test]
-fn a_restarted_engine_comes_back_after_it_had_left() {
+fn a_restarted_engine_is_used_after_the_previous_one_left() {
     let mut directory = EngineDirectory::default();
     directory.merge(NOW, notice(1, 90, EngineState::Ready));
-    directory.mark_gone(NOW, &life(1));
+    directory.mark_gone(NOW, &incarnation(1));
     assert_eq!(directory.merge(NOW, notice(2, 1, EngineState::Ready)), MergeOutcome::Changed);
-    assert_eq!(ready(&directory), [&life(2)]);
+    assert_eq!(ready(&directory), [&incarnation(2)]);
 }
 
 #[test]
-fn a_former_life_never_comes_back_and_ends_nothing() {
+fn an_older_incarnation_neither_returns_nor_ends_the_newer() {
     let mut directory = EngineDirectory::default();
     directory.merge(NOW, notice(2, 1, EngineState::Ready));
     for state in [EngineState::Ready, EngineState::Draining, EngineState::Gone] {
         for sequence in [1, 90, 91] {
             directory.merge(NOW, notice(1, sequence, state));
-            assert_eq!(ready(&directory), [&life(2)], "{state:?} {sequence}");
+            assert_eq!(ready(&directory), [&incarnation(2)], "{state:?} {sequence}");
         }
     }
-    directory.mark_gone(NOW, &life(1));
-    assert_eq!(ready(&directory), [&life(2)]);
+    directory.mark_gone(NOW, &incarnation(1));
+    assert_eq!(ready(&directory), [&incarnation(2)]);
 }
 
 #[test]
-fn an_id_without_a_start_is_the_oldest_life() {
+fn an_id_without_a_start_time_is_the_oldest_incarnation() {
     let mut directory = EngineDirectory::default();
     let without = EngineNotice {
         engine: BackEndName::of_incarnation(ID, None),
@@ -79,11 +79,11 @@
     directory.merge(NOW, without.clone());
     directory.merge(NOW, notice(3, 1, EngineState::Ready));
     assert_eq!(directory.merge(NOW, EngineNotice { sequence: 91, ..without }), MergeOutcome::Stale);
-    assert_eq!(ready(&directory), [&life(3)]);
+    assert_eq!(ready(&directory), [&incarnation(3)]);
 }
 
 #[test]
-fn an_id_that_begins_like_another_is_another_engine() {
+fn an_id_that_is_a_prefix_of_another_is_another_engine() {
     let mut directory = EngineDirectory::default();
     directory.merge(NOW, notice(9, 1, EngineState::Ready));
     let other = BackEndName::of_incarnation("e10", Some(1));
@@ -92,69 +92,81 @@
     assert_eq!(ready(&directory).len(), 2);
 }
 
-/// A leave that does not say which life it is of.
+/// A leave call without a start time does not identify the incarnation.
 #[test]
-fn a_leave_that_may_be_the_former_lifes_does_not_end_the_new_one() {
+fn a_possibly_late_leave_call_ends_the_older_incarnation() {
     let mut directory = EngineDirectory::default();
     directory.merge(NOW, notice(1, 90, EngineState::Ready));
     directory.merge(NOW + Millis(3_000), notice(2, 1, EngineState::Ready));
-    assert_eq!(directory.departing_incarnation(NOW + Millis(4_000), ID), life(1));
-    assert_eq!(directory.departing_incarnation(NOW + Millis(60_000), ID), life(2));
+    assert_eq!(directory.departing_incarnation(NOW + Millis(4_000), ID), incarnation(1));
+    assert_eq!(directory.departing_incarnation(NOW + Millis(60_000), ID), incarnation(2));
     let unknown = directory.departing_incarnation(NOW, "e7");
     assert_eq!(unknown, BackEndName::of_incarnation("e7", None));
 }
 
-/// A process that has just started knows lives from others, which have known them for long.
+/// A process that has just started receives incarnations from others, which have known them for
+/// long.
 #[test]
-fn a_leave_told_to_a_process_that_has_just_started_ends_the_life_that_leaves() {
+fn a_leave_call_at_a_new_process_ends_the_newest_incarnation() {
     let mut directory = EngineDirectory::default();
     directory.merge(NOW, notice(1, 90, EngineState::Ready));
     directory.merge(NOW + Millis(3_000), notice(2, 1, EngineState::Ready));
     let later = NOW + Millis(60_000);
-    let mut newcomer = EngineDirectory::default();
-    for told in directory.notices(later) {
-        newcomer.merge(Timestamp::PROCESS_START, told);
+    let mut new_process = EngineDirectory::default();
+    for known in directory.notices(later) {
+        new_process.merge(Timestamp::PROCESS_START, known);
     }
-    assert_eq!(newcomer.departing_incarnation(Timestamp::PROCESS_START + Millis(50), ID), life(2));
+    assert_eq!(
+        new_process.departing_incarnation(Timestamp::PROCESS_START + Millis(50), ID),
+        incarnation(2)
+    );
 }
 
 #[test]
-fn two_announcements_show_that_an_engine_has_run_on() {
+fn two_later_announcements_prove_that_an_engine_has_run() {
     let mut directory = EngineDirectory::default();
     let announced = |directory: &mut EngineDirectory, sequence, at| {
         directory.merge(Timestamp(at), notice(1, sequence, EngineState::Ready));
     };
     announced(&mut directory, 1, 10_000);
     announced(&mut directory, 2, 11_200);
-    assert!(!directory.has_run_after(&life(1), Timestamp(10_500)));
+    assert!(!directory.has_run_after(&incarnation(1), Timestamp(10_500)));
     announced(&mut directory, 3, 12_400);
-    assert!(directory.has_run_after(&life(1), Timestamp(10_500)));
-    assert!(!directory.has_run_after(&life(1), Timestamp(11_200)));
+    assert!(directory.has_run_after(&incarnation(1), Timestamp(10_500)));
+    assert!(!directory.has_run_after(&incarnation(1), Timestamp(11_200)));
     directory.merge(Timestamp(12_500), notice(2, 1, EngineState::Ready));
-    assert!(!directory.has_run_after(&life(1), Timestamp(10_500)), "it has ended");
+    assert!(
+        !directory.has_run_after(&incarnation(1), Timestamp(10_500)),
+        "the incarnation has ended"
+    );
 }
 
 proptest! {
-    /// Announcements of all lives come in any order, twice, and through several control processes.
+    /// Announcements of all incarnations arrive in any order, twice, and through several control
+    /// processes.
     #[test]
-    fn all_processes_end_with_the_newest_life(
-        heard in prop::collection::vec((1_u64..5, 1_u64..6, 0_usize..2, 0_usize..3), 1..40),
+    fn all_processes_end_with_the_newest_incarnation(
+        received in prop::collection::vec((1_u64..5, 1_u64..6, 0_usize..2, 0_usize..3), 1..40),
         order in prop::collection::vec(0_usize..40, 40),
     ) {
         let states = [EngineState::Ready, EngineState::Draining];
-        let notices: Vec<EngineNotice> = heard
+        let notices: Vec<EngineNotice> = received
             .iter()
             .map(|(started_at_ms, sequence, state, _)| notice(*started_at_ms, *sequence, states[*state]))
             .collect();
-        let newest = notices.iter().map(|notice| notice.engine.started_at_ms()).max().expect("some");
+        let newest = notices
+            .iter()
+            .map(|notice| notice.engine.started_at_ms())
+            .max()
+            .expect("there are notices");
         let mut control = [(); 3].map(|()| EngineDirectory::default());
         let mut router = EngineDirectory::follower();
-        for (notice, (_, _, _, at)) in notices.iter().zip(&heard) {
+        for (notice, (_, _, _, at)) in notices.iter().zip(&received) {
             if control[*at].merge(NOW, notice.clone()) == MergeOutcome::Changed {
                 router.merge(NOW, notice.clone());
             }
         }
-        // Control processes tell one another everything, in any order and more than once.
+        // Control processes forward everything to one another, in any order and more than once.
         for index in order.iter().chain(&(0..40).collect::<Vec<_>>()) {
             if let Some(notice) = notices.get(*index) {
                 for directory in &mut control {
--- a/crates/gateway-core/tests/engine_permits.rs
+++ b/crates/gateway-core/tests/engine_permits.rs
@@ -1,10 +1,9 @@
-//! Whether a request may be sent to an engine, by the rate that the engine states, over many
-//! routers.
+//! Permits for engines that state a rate, over many routers.
 //!
-//! The failure: what an engine states of the requests a second that it takes from all routers was
-//! not read, so two engines in need got four a second where they had stated 1.2 and 1.4. Were it
-//! kept by each router for itself, eight routers would still send eight times as much: the rate has
-//! to be spent in one place.
+//! The fault: the rate that an engine states for all routers together was not read, so two
+//! overloaded engines that stated 1.2 and 1.4 requests per second got four. If each router applied
+//! the rate by itself, eight routers would still send eight times as much: permits must be issued
+//! in one place.
 
 use proptest::prelude::*;
 use stackpost_gateway_core::*;
@@ -13,8 +12,8 @@
 use std::net::SocketAddr;
 
 const SERVICE: &str = "plain";
-/// Longest time, in milliseconds, until an engine is asked again, however low its rate.
-const LONGEST_WAIT: u64 = 10_001;
+/// Longest time, in milliseconds, until a permit for an engine is issued, however low its rate.
+const LONGEST_WAIT_MS: u64 = 10_001;
 
 fn address(router: usize) -> SocketAddr {
     ([10, 0, 1, router as u8], 80).into()
@@ -37,7 +36,7 @@
             known_for: Millis(0),
         },
     );
-    directory.get(&name).expect("it is known").clone()
+    directory.get(&name).expect("the engine is known").clone()
 }
 
 fn limited(milli_rps: u32) -> RateStatement {
@@ -48,7 +47,7 @@
     (0..routers).filter(|one| *one != own).map(address).collect()
 }
 
-/// The views of so many routers that all know one another.
+/// The views of `routers` routers that all know one another.
 fn views(routers: usize) -> Vec<EnginePermits> {
     let view = |own: usize| {
         let mut permits = EnginePermits::new(address(own));
@@ -58,7 +57,7 @@
     (0..routers).map(view).collect()
 }
 
-/// Takes a permit if there is one.
+/// Takes a permit if one is available.
 fn try_take(permits: &mut EnginePermits, now: Timestamp, engine: &EngineRecord) -> bool {
     let has_room = permits.has_room(now, engine, PermitScope::Rate);
     if has_room {
@@ -68,7 +67,7 @@
 }
 
 #[test]
-fn one_router_keeps_each_engine_and_only_it_lets_requests_go() {
+fn only_the_owner_of_an_engine_issues_permits() {
     let engine = record(1);
     let mut views = views(8);
     for view in &mut views {
@@ -85,11 +84,11 @@
     }
     assert_eq!(sent_by.len(), 1, "{sent_by:?}");
     let sent = sent_by.into_values().sum::<u32>();
-    assert!((14..=15).contains(&sent), "{sent} in ten seconds at 1.5 a second");
+    assert!((14..=15).contains(&sent), "{sent} sent in 10 s at 1.5 per second");
 }
 
 #[test]
-fn a_router_that_does_not_know_the_others_keeps_no_engine() {
+fn a_router_that_does_not_know_the_others_owns_no_engine() {
     let engine = record(1);
     let mut permits = EnginePermits::new(address(0));
     permits.learn(Timestamp(1_000), &engine.notice.engine, Timestamp(1_000), limited(40_000));
@@ -97,92 +96,103 @@
     permits.set_others(Timestamp(9_000), &[]);
     assert!(
         !permits.has_room(Timestamp(9_000), &engine, PermitScope::Rate),
-        "its bucket is empty yet"
+        "its bucket starts empty"
     );
     assert!(permits.has_room(Timestamp(9_100), &engine, PermitScope::Rate));
 }
 
 #[test]
-fn a_owner_begins_with_nothing_and_one_that_was_replaced_has_nothing_left() {
+fn an_owner_starts_with_an_empty_bucket_also_when_it_returns() {
     let engine = record(1);
     let mut permits = EnginePermits::new(address(0));
     permits.set_others(Timestamp(0), &[]);
     permits.learn(Timestamp(0), &engine.notice.engine, Timestamp(0), limited(10_000));
-    assert!(permits.has_room(Timestamp(5_000), &engine, PermitScope::Rate), "it has gathered some");
-    let keeps =
+    assert!(
+        permits.has_room(Timestamp(5_000), &engine, PermitScope::Rate),
+        "permits have accumulated"
+    );
+    let is_owner =
         |permits: &mut EnginePermits| permits.owner(&engine.notice.engine) == Some(address(0));
     let other = (1..20).find(|other| {
         permits.set_others(Timestamp(5_000), &[address(*other)]);
-        !keeps(&mut permits)
+        !is_owner(&mut permits)
     });
-    assert!(other.is_some(), "some router outranks this one");
+    assert!(other.is_some(), "one of the routers must rank above this one");
     permits.set_others(Timestamp(5_000), &[]);
     assert!(!permits.has_room(Timestamp(5_000), &engine, PermitScope::Rate));
     assert!(permits.has_room(Timestamp(5_101), &engine, PermitScope::Rate));
 }
 
 #[test]
-fn the_answer_to_the_request_that_was_sent_last_counts() {
+fn the_response_to_the_request_sent_last_is_in_force() {
     let engine = record(1);
     let name = &engine.notice.engine;
     let mut permits = views(1).remove(0);
     let now = Timestamp(9_000);
     assert!(permits.learn(now, name, Timestamp(5_000), limited(2_000)).is_some());
     let late = permits.learn(now, name, Timestamp(4_000), RateStatement::Unlimited);
-    assert_eq!(late, None, "an answer that was overtaken");
+    assert_eq!(late, None, "a response to an older request is ignored");
     let unreadable = permits.learn(now, name, Timestamp(6_000), RateStatement::Unknown);
     assert_eq!(unreadable, None);
     assert_eq!(permits.rates().rate(name), Some(RequestRate::from_milli_rps(2_000)));
     assert!(permits.learn(now, name, Timestamp(6_000), RateStatement::Unlimited).is_some());
-    assert!(permits.has_room(now, &engine, PermitScope::Rate), "back in full at once");
-    let overtaken = permits.learn(now, name, Timestamp(5_500), limited(2_000));
-    assert_eq!(overtaken, None, "so is a statement that came before its end");
+    assert!(permits.has_room(now, &engine, PermitScope::Rate), "the limit ends at once");
+    let older = permits.learn(now, name, Timestamp(5_500), limited(2_000));
+    assert_eq!(older, None, "a statement older than the end of the limit is ignored");
 }
 
 #[test]
-fn what_another_router_tells_counts_by_its_age() {
+fn peer_updates_are_ordered_by_their_age() {
     let engine = record(1);
     let name = &engine.notice.engine;
-    let mut teller = views(1).remove(0);
-    let mut told = views(1).remove(0);
-    teller.learn(Timestamp(5_000), name, Timestamp(5_000), limited(2_000));
-    let news = teller.rates_mut().take_updates(Timestamp(5_200)).remove(0);
-    assert_eq!(news.age, Millis(200));
-    assert!(told.learn_from_peer(Timestamp(90_000), &news).is_some(), "its clock is its own");
-    assert_eq!(told.learn_from_peer(Timestamp(90_001), &news), None, "told twice");
-    let newer = told.learn(Timestamp(90_300), name, Timestamp(90_250), RateStatement::Unlimited);
+    let mut sender = views(1).remove(0);
+    let mut receiver = views(1).remove(0);
+    sender.learn(Timestamp(5_000), name, Timestamp(5_000), limited(2_000));
+    let update = sender.rates_mut().take_updates(Timestamp(5_200)).remove(0);
+    assert_eq!(update.age, Millis(200));
+    assert!(
+        receiver.learn_from_peer(Timestamp(90_000), &update).is_some(),
+        "the age is independent of the sender's clock"
+    );
+    assert_eq!(receiver.learn_from_peer(Timestamp(90_001), &update), None, "the same update again");
+    let newer =
+        receiver.learn(Timestamp(90_300), name, Timestamp(90_250), RateStatement::Unlimited);
     assert!(newer.is_some());
-    assert_eq!(told.learn_from_peer(Timestamp(90_400), &news), None, "older than what is known");
+    assert_eq!(
+        receiver.learn_from_peer(Timestamp(90_400), &update),
+        None,
+        "the update is older than the known statement"
+    );
 }
 
 #[test]
-fn a_change_is_told_twice_and_an_old_statement_is_compared_now_and_then() {
+fn a_change_is_sent_twice_and_a_stale_statement_is_compared() {
     let engine = record(1);
     let mut permits = views(2).remove(0);
-    let begun = Timestamp(1_000);
-    permits.learn(begun, &engine.notice.engine, begun, limited(2_000));
-    let told = (0..5).filter(|_| !permits.rates_mut().take_updates(begun).is_empty());
-    assert_eq!(told.count(), 2);
+    let start = Timestamp(1_000);
+    permits.learn(start, &engine.notice.engine, start, limited(2_000));
+    let sent = (0..5).filter(|_| !permits.rates_mut().take_updates(start).is_empty());
+    assert_eq!(sent.count(), 2);
     assert!(permits.rates_mut().take_stale(Timestamp(10_999)).is_empty());
     assert_eq!(permits.rates_mut().take_stale(Timestamp(11_000)).len(), 1);
     assert!(permits.rates_mut().take_stale(Timestamp(11_001)).is_empty());
 }
 
 #[test]
-fn an_engine_that_takes_nothing_is_asked_again_now_and_then() {
+fn an_engine_with_a_rate_of_zero_still_gets_some_requests() {
     let engine = record(1);
     for (milli_rps, least, most) in [(0, 14, 15), (100, 5, 6), (40_000, 2_390, 2_412)] {
         let mut permits = views(1).remove(0);
         let statement = limited(milli_rps);
         permits.learn(Timestamp(0), &engine.notice.engine, Timestamp(0), statement);
-        let asked = (0..60_000).filter(|now| try_take(&mut permits, Timestamp(*now), &engine));
-        let asked = asked.count();
-        assert!((least..=most).contains(&asked), "{asked} in a minute at {milli_rps}");
+        let sent = (0..60_000).filter(|now| try_take(&mut permits, Timestamp(*now), &engine));
+        let sent = sent.count();
+        assert!((least..=most).contains(&sent), "{sent} sent in a minute at {milli_rps} milli_rps");
     }
 }
 
 #[test]
-fn while_an_engine_states_a_rate_its_slots_are_its_owners() {
+fn slots_of_an_engine_with_a_rate_belong_to_its_owner() {
     let engine = record(1);
     let name = engine.notice.engine.clone();
     let mut permits = EnginePermits::new(address(0));
@@ -201,7 +211,7 @@
 }
 
 #[test]
-fn callers_are_told_when_the_first_permit_comes() {
+fn the_time_until_the_first_permit_is_returned() {
     let engines = [record(1), record(2)];
     let mut permits = views(1).remove(0);
     let now = Timestamp(1_000);
@@ -210,7 +220,7 @@
     assert_eq!(
         availability(&mut permits, now),
         PermitAvailability::Unlimited,
-        "the other states no rate"
+        "the other engine states no rate"
     );
     permits.learn(now, &engines[1].notice.engine, now, limited(1_000));
     let first = engines[1].notice.engine.clone();
@@ -220,7 +230,7 @@
 }
 
 #[test]
-fn a_owner_that_has_nothing_is_not_asked_until_it_has() {
+fn an_owner_without_permits_is_not_asked_until_it_has_one() {
     let engines: Vec<EngineRecord> = (1..20).map(record).collect();
     let mut permits = views(6).remove(0);
     let now = Timestamp(1_000);
@@ -238,69 +248,70 @@
 }
 
 #[test]
-fn requests_begin_with_different_lenders_and_pass_over_who_does_not_answer() {
+fn requests_start_with_different_lenders_and_skip_absent_ones() {
     let engine = record(1);
     let mut permits = views(6).remove(0);
     let now = Timestamp(1_000);
-    let lenders = |permits: &mut EnginePermits, lot: u64| {
-        permits.lenders(now, lot, PermitScope::RateAndSlot, std::iter::once(&engine))
+    let lenders = |permits: &mut EnginePermits, request_hash: u64| {
+        permits.lenders(now, request_hash, PermitScope::RateAndSlot, std::iter::once(&engine))
     };
-    let begun: BTreeSet<SocketAddr> = (0..64).map(|lot| lenders(&mut permits, lot)[0]).collect();
-    assert_eq!(begun.len(), 5, "each of the others is asked first by some");
+    let first_lenders: BTreeSet<SocketAddr> =
+        (0..64).map(|request_hash| lenders(&mut permits, request_hash)[0]).collect();
+    assert_eq!(first_lenders.len(), 5, "each of the others comes first for some request");
     permits.slots().on_no_answer(now, address(3));
-    assert!((0..64).all(|lot| !lenders(&mut permits, lot).contains(&address(3))));
+    assert!((0..64).all(|request_hash| !lenders(&mut permits, request_hash).contains(&address(3))));
 }
 
-/// Without it a router that had just started lent slots of an engine whose statement it had not
-/// heard.
+/// Guards against routers that had just started and lent slots of an engine whose statement they
+/// had not received.
 #[test]
-fn of_an_engine_that_states_a_rate_only_its_owners_permit_counts() {
+fn only_the_owners_permit_is_valid_for_an_engine_with_a_rate() {
     let engine = record(1);
     let name = &engine.notice.engine;
     let mut permits = views(6).remove(0);
-    let counting = |permits: &mut EnginePermits| {
+    let accepted_lenders = |permits: &mut EnginePermits| {
         (1..6).filter(|lender| permits.accepts_permit_from(address(*lender), name)).count()
     };
-    assert_eq!(counting(&mut permits), 5, "it states no rate");
+    assert_eq!(accepted_lenders(&mut permits), 5, "the engine states no rate");
     permits.learn(Timestamp(0), name, Timestamp(0), limited(1_000));
     let owner = permits.owner(name).expect("the routers are known");
-    assert_eq!(counting(&mut permits), usize::from(owner != address(0)));
+    assert_eq!(accepted_lenders(&mut permits), usize::from(owner != address(0)));
     assert!(permits.accepts_permit_from(owner, name));
 }
 
-/// Something that happens to a fleet of routers.
+/// An event in a fleet of routers.
 #[derive(Clone, Debug)]
-enum Happening {
-    /// So much time passes.
-    Time(u64),
-    /// A router wants to send a request, and asks the owner for it.
+enum FleetEvent {
+    /// Time passes.
+    TimePasses(u64),
+    /// A router needs a permit and asks the owner for it.
     Request(usize),
-    /// A router is gone, or is there again without anything that it knew.
+    /// A router stops, or starts again without its previous state.
     Restart(usize),
-    /// One router hears late that another one is gone or back.
-    Hear(usize),
+    /// One router learns late that another one has stopped or started.
+    Learn(usize),
 }
 
-fn happening(routers: usize) -> impl Strategy<Value = Happening> {
+fn fleet_event(routers: usize) -> impl Strategy<Value = FleetEvent> {
     prop_oneof![
-        4 => (1_u64..300).prop_map(Happening::Time),
-        8 => (0..routers).prop_map(Happening::Request),
-        1 => (0..routers).prop_map(Happening::Restart),
-        1 => (0..routers).prop_map(Happening::Hear),
+        4 => (1_u64..300).prop_map(FleetEvent::TimePasses),
+        8 => (0..routers).prop_map(FleetEvent::Request),
+        1 => (0..routers).prop_map(FleetEvent::Restart),
+        1 => (0..routers).prop_map(FleetEvent::Learn),
     ]
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(200))]
 
-    /// Routers end, come back and hear of it late; permits are asked for where each router believes
-    /// the owner to be. In no window does the engine get more than one and a half times its rate
-    /// and five requests, as long as routers differ for no longer than a second. Once they agree,
-    /// whoever is there gets a permit in time.
+    /// Routers stop, restart and learn of it late; permits are requested from the router that each
+    /// router believes to be the owner. In no window does the engine get more than one and a half
+    /// times its rate plus five requests, as long as routers disagree for at most a second. Once
+    /// they agree, a permit is issued in time.
     #[test]
-    fn the_fleet_sends_no_more_than_is_stated(
+    fn the_fleet_keeps_the_stated_rate(
         milli_rps in 100_u32..20_000,
-        happenings in prop::collection::vec(happening(6), 1..1_500),
+        events in prop::collection::vec(fleet_event(6), 1..1_500),
     ) {
         const ROUTERS: usize = 6;
         let engine = record(1);
@@ -308,62 +319,62 @@
         let statement = limited(milli_rps);
         let mut now = 1_000;
         let mut views = views(ROUTERS);
-        let mut gone = [false; ROUTERS];
+        let mut stopped = [false; ROUTERS];
         let mut changed_at = [None; ROUTERS];
         views.iter_mut().for_each(|view| {
             view.learn(Timestamp(now), name, Timestamp(now), statement);
         });
         let mut sent: Vec<u64> = Vec::new();
-        for happening in happenings {
-            match happening {
-                Happening::Time(passed) => now += passed,
-                Happening::Restart(router) => {
-                    gone[router] = !gone[router];
+        for fleet_event in events {
+            match fleet_event {
+                FleetEvent::TimePasses(passed) => now += passed,
+                FleetEvent::Restart(router) => {
+                    stopped[router] = !stopped[router];
                     changed_at.iter_mut().for_each(|at| *at = at.or(Some(now)));
-                    if !gone[router] {
+                    if !stopped[router] {
                         views[router] = EnginePermits::new(address(router));
                         views[router].learn(Timestamp(now), name, Timestamp(now), statement);
                     }
                 }
-                Happening::Hear(router) => changed_at[router] = Some(0),
-                Happening::Request(router) if !gone[router] => {
+                FleetEvent::Learn(router) => changed_at[router] = Some(0),
+                FleetEvent::Request(router) if !stopped[router] => {
                     let owner = views[router].owner(name);
                     let owner = (0..ROUTERS).find(|one| owner == Some(address(*one)));
-                    if let Some(owner) = owner.filter(|owner| !gone[*owner])
+                    if let Some(owner) = owner.filter(|owner| !stopped[*owner])
                         && try_take(&mut views[owner], Timestamp(now), &engine)
                     {
                         sent.push(now);
                     }
                 }
-                Happening::Request(_) => {}
+                FleetEvent::Request(_) => {}
             }
             for router in 0..ROUTERS {
                 if changed_at[router].is_some_and(|at| now >= at + 1_000) {
                     changed_at[router] = None;
-                    let there = (0..ROUTERS).filter(|one| *one != router && !gone[*one]);
-                    let there: Vec<SocketAddr> = there.map(address).collect();
-                    views[router].set_others(Timestamp(now), &there);
+                    let running = (0..ROUTERS).filter(|one| *one != router && !stopped[*one]);
+                    let running: Vec<SocketAddr> = running.map(address).collect();
+                    views[router].set_others(Timestamp(now), &running);
                 }
             }
         }
         let allowed = 6 * u64::from(milli_rps) / 1_000 + 5;
         for (index, begin) in sent.iter().enumerate() {
             let within = sent[index..].iter().take_while(|at| **at < begin + 4_000).count() as u64;
-            prop_assert!(within <= allowed, "{} in a window, {} allowed", within, allowed);
+            prop_assert!(within <= allowed, "{} sent in a window, {} allowed", within, allowed);
         }
-        let there: Vec<usize> = (0..ROUTERS).filter(|one| !gone[*one]).collect();
-        for router in &there {
-            let others = there.iter().filter(|one| *one != router).copied();
+        let running: Vec<usize> = (0..ROUTERS).filter(|one| !stopped[*one]).collect();
+        for router in &running {
+            let others = running.iter().filter(|one| *one != router).copied();
             let others: Vec<SocketAddr> = others.map(address).collect();
             views[*router].set_others(Timestamp(now), &others);
         }
         let owners: BTreeSet<Option<SocketAddr>> =
-            there.iter().map(|router| views[*router].owner(name)).collect();
-        prop_assert!(owners.len() <= 1, "they agree");
-        if let Some(owner) = there.iter().find(|one| owners.contains(&Some(address(**one)))) {
-            let later = Timestamp(now + LONGEST_WAIT);
-            prop_assert!(try_take(&mut views[*owner], later, &engine), "nothing is let go");
+            running.iter().map(|router| views[*router].owner(name)).collect();
+        prop_assert!(owners.len() <= 1, "the routers agree on the owner");
+        if let Some(owner) = running.iter().find(|one| owners.contains(&Some(address(**one)))) {
+            let later = Timestamp(now + LONGEST_WAIT_MS);
+            prop_assert!(try_take(&mut views[*owner], later, &engine), "no permit is issued");
         }
-        prop_assert!(there.is_empty() || owners.iter().all(Option::is_some));
+        prop_assert!(running.is_empty() || owners.iter().all(Option::is_some));
     }
 }
--- a/crates/gateway-core/tests/engines.rs
+++ b/crates/gateway-core/tests/engines.rs
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn late_notices_change_nothing_and_the_gone_never_come_back() {
+fn late_notices_are_ignored_and_gone_engines_never_return() {
     let now = Timestamp(1_000);
     let mut directory = directory(now, &["e1"]);
     assert_eq!(directory.merge(now, notice("e1", 5, EngineState::Draining)), MergeOutcome::Changed);
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_farewell_of_an_unknown_engine_is_remembered() {
+fn the_departure_of_an_unknown_engine_is_remembered() {
     let now = Timestamp(1_000);
     let mut directory = EngineDirectory::default();
     directory.mark_gone(now, &BackEndName::new("e1"));
@@ -64,23 +64,23 @@
 }
 
 #[test]
-fn a_new_engine_takes_the_place_of_the_one_at_its_address() {
+fn a_new_engine_replaces_the_one_at_its_address() {
     let now = Timestamp(1_000);
     let mut directory = directory(now, &["e1"]);
     let successor = EngineNotice { engine: "f9".into(), ..notice("e1", 1, EngineState::Ready) };
     directory.merge(now, successor);
-    let old = directory.get(&BackEndName::new("e1")).expect("it is remembered");
+    let old = directory.get(&BackEndName::new("e1")).expect("a replaced engine is remembered");
     assert_eq!(old.notice.state, EngineState::Gone);
 }
 
 fn state_of(directory: &EngineDirectory, engine: &str) -> EngineState {
-    directory.get(&BackEndName::new(engine)).expect("it is known").notice.state
+    directory.get(&BackEndName::new(engine)).expect("the engine is known").notice.state
 }
 
-/// The announcement was held up while its sender ended and a successor was announced there. Whoever
-/// has restarted meanwhile does not know the sender and takes it for a new engine at first.
+/// An announcement was delayed while its sender ended and a successor was announced at its address.
+/// A process that has restarted meanwhile does not know the sender and takes it for a new engine.
 #[test]
-fn a_late_announcement_does_not_put_out_the_successor_for_good() {
+fn a_late_announcement_replaces_the_successor_only_briefly() {
     let mut directory = EngineDirectory::default();
     let successor = |sequence| notice("e1", sequence, EngineState::Ready);
     let late = EngineNotice { engine: "f9".into(), ..notice("e1", 70, EngineState::Ready) };
@@ -93,9 +93,9 @@
     assert_eq!(state_of(&directory, "f9"), EngineState::Gone);
 }
 
-/// The other way round: who goes on announcing itself keeps the address.
+/// The reverse case: the engine that continues to announce itself keeps the address.
 #[test]
-fn late_announcements_of_a_known_engine_do_not_bring_it_back() {
+fn late_announcements_of_a_replaced_engine_do_not_restore_it() {
     let mut directory = EngineDirectory::default();
     let successor = |sequence| EngineNotice {
         engine: "f9".into(),
@@ -112,18 +112,18 @@
     assert_eq!(state_of(&directory, "f9"), EngineState::Ready);
 }
 
-/// That an engine was replaced is concluded from its successor's announcement, not known: others
-/// come to it themselves, or take it back when it is announced on.
+/// That an engine was replaced is only inferred from its successor's announcement: other processes
+/// infer it themselves, or revert it when the engine continues to announce itself.
 #[test]
-fn a_conclusion_is_not_handed_on_as_a_farewell() {
+fn an_inferred_replacement_is_not_passed_on_as_a_departure() {
     let mut directory = EngineDirectory::default();
     directory.merge(Timestamp(1_000), notice("e1", 1, EngineState::Ready));
     let late = EngineNotice { engine: "f9".into(), ..notice("e1", 70, EngineState::Ready) };
     directory.merge(Timestamp(2_000), late.clone());
-    let told: Vec<String> =
+    let passed_on: Vec<String> =
         directory.notices(Timestamp(2_000)).iter().map(|one| one.engine.to_string()).collect();
-    assert_eq!(told, ["f9"]);
-    // A router hears of changes only, so one newer word is enough for it.
+    assert_eq!(passed_on, ["f9"]);
+    // A router receives only changes, so one newer notice is enough for it.
     let mut follower = EngineDirectory::follower();
     follower.merge(Timestamp(1_000), notice("e1", 1, EngineState::Ready));
     follower.merge(Timestamp(2_000), late);
@@ -132,13 +132,14 @@
         MergeOutcome::Changed
     );
     assert_eq!(state_of(&follower, "f9"), EngineState::Gone);
-    // What a replica says that was cut off and has not heard of the successor is older.
+    // A notice from a partitioned replica that has not received the successor's announcement is
+    // older.
     let stale = EngineNotice { age: Millis(3_000), ..notice("e1", 5, EngineState::Ready) };
     let successor = EngineNotice { engine: "h7".into(), ..notice("e1", 1, EngineState::Ready) };
     follower.merge(Timestamp(5_000), successor);
     assert_eq!(follower.merge(Timestamp(5_500), stale), MergeOutcome::Stale);
     assert_eq!(state_of(&follower, "h7"), EngineState::Ready);
-    // What has left by its own word stays gone.
+    // An engine that has left stays gone.
     follower.mark_gone(Timestamp(5_000), &BackEndName::new("e1"));
     assert_eq!(
         follower.merge(Timestamp(6_000), notice("e1", 9, EngineState::Ready)),
@@ -157,25 +158,28 @@
 }
 
 #[test]
-fn a_request_that_waited_is_not_sent_to_an_engine_that_has_left_since() {
+fn a_waiting_request_is_not_sent_to_a_departed_engine() {
     let now = Timestamp(1_000);
     let picker = EnginePicker::new("jetty".into());
-    let leaves = [
+    let departures = [
         DepartureRecord { engine: "e1".into(), state: EngineState::Gone, sequence: 0 },
         DepartureRecord { engine: "e1".into(), state: EngineState::Draining, sequence: 2 },
     ];
-    for word in leaves {
+    for departure in departures {
         let mut directory = directory(now, &["e1"]);
         assert_eq!(pick(&picker, now, &directory, None, &[]).as_deref(), Some("e1"));
         assert!(picker.may_send(now, &directory, &"e1".into()));
-        directory.apply_departure(now, &word);
-        assert!(!picker.may_send(now, &directory, &"e1".into()), "{word:?}");
+        directory.apply_departure(now, &departure);
+        assert!(!picker.may_send(now, &directory, &"e1".into()), "{departure:?}");
     }
-    assert!(!picker.may_send(now, &directory(now, &[]), &"e1".into()), "it is forgotten");
+    assert!(
+        !picker.may_send(now, &directory(now, &[]), &"e1".into()),
+        "the engine is no longer known"
+    );
 }
 
 #[test]
-fn a_subject_keeps_its_engine_until_that_is_overloaded() {
+fn a_subject_keeps_its_engine_until_it_is_overloaded() {
     let now = Timestamp(1_000);
     let directory = directory(now, &["e1", "e2", "e3"]);
     let mut picker = EnginePicker::new("jetty".into());
@@ -195,7 +199,7 @@
     let now = Timestamp(1_000);
     let directory = directory(now, &["e1", "e2"]);
     let mut picker = EnginePicker::new("jetty".into());
-    let failing = directory.get(&BackEndName::new("e1")).expect("known").clone();
+    let failing = directory.get(&BackEndName::new("e1")).expect("the engine is known").clone();
     for _ in 0..6 {
         picker.on_start(now, &failing.notice.engine, None);
         picker.on_end(now, &failing, None, AttemptEnd::Broken);
@@ -206,27 +210,27 @@
     let later = now + Millis(3_000);
     let back =
         (0..40).any(|s| pick(&picker, later, &directory, Some(s), &[]).as_deref() == Some("e1"));
-    assert!(back, "an engine that was avoided gets another chance");
+    assert!(back, "an ejected engine is used again later");
 }
 
 #[test]
-fn a_failing_engine_is_better_than_none() {
+fn a_failing_engine_is_used_if_there_is_no_other() {
     let now = Timestamp(1_000);
     let directory = directory(now, &["e1"]);
     let mut picker = EnginePicker::new("jetty".into());
-    let only = directory.get(&BackEndName::new("e1")).expect("known").clone();
+    let only = directory.get(&BackEndName::new("e1")).expect("the engine is known").clone();
     picker.on_start(now, &only.notice.engine, None);
     picker.on_end(now, &only, None, AttemptEnd::Unreachable);
     assert_eq!(pick(&picker, now, &directory, None, &[]).as_deref(), Some("e1"));
 }
 
 #[test]
-fn a_zone_that_can_not_be_reached_is_avoided() {
+fn an_unreachable_zone_is_avoided() {
     let now = Timestamp(1_000);
     let directory = directory(now, &["e1x", "e2x", "e3x", "e4x", "e5"]);
     let mut picker = EnginePicker::new("jetty".into());
     for engine in ["e1x", "e2x", "e3x"] {
-        let record = directory.get(&BackEndName::new(engine)).expect("known").clone();
+        let record = directory.get(&BackEndName::new(engine)).expect("the engine is known").clone();
         picker.on_start(now, &record.notice.engine, None);
         picker.on_end(now, &record, None, AttemptEnd::Unreachable);
     }
@@ -236,7 +240,7 @@
 }
 
 #[test]
-fn an_engine_that_is_announced_no_more_is_silent_and_in_the_end_gone() {
+fn an_engine_without_announcements_is_silent_then_evicted() {
     let start = Timestamp(1_000);
     let mut directory = directory(start, &["e1", "e2"]);
     let now = start + Millis(6_000);
@@ -246,12 +250,15 @@
     let late = start + Millis(185_500);
     assert_eq!(directory.evict_silent(late), vec![BackEndName::new("e1")]);
     directory.forget_old(late);
-    assert!(!directory.accepts_requests(&"e1".into()), "it is gone");
-    assert!(directory.get(&BackEndName::new("e2")).is_some(), "only the gone are forgotten");
+    assert!(!directory.accepts_requests(&"e1".into()), "the silent engine is evicted");
+    assert!(
+        directory.get(&BackEndName::new("e2")).is_some(),
+        "only engines that have left are removed"
+    );
 }
 
 #[test]
-fn an_engine_that_was_out_of_sight_for_long_is_used_again() {
+fn an_evicted_engine_is_used_again_when_announced() {
     let start = Timestamp(1_000);
     let later = start + Millis(200_000);
     let mut control = directory(start, &["e1"]);
@@ -264,23 +271,23 @@
             MergeOutcome::Changed
         );
     }
-    // One that has left by its own word is not.
+    // An engine that has left is not.
     router.mark_gone(later, &"e1".into());
     router.forget(&"e1".into());
     assert_eq!(router.merge(later, notice("e1", 3, EngineState::Ready)), MergeOutcome::Stale);
 }
 
 #[test]
-fn a_silent_engine_comes_after_the_others_unless_it_answers() {
+fn a_silent_engine_ranks_last_unless_it_responds() {
     let now = Timestamp(7_000);
     let mut directory = directory(now, &["e1", "e2"]);
     directory.set_silent([BackEndName::new("e1")].into());
     let mut picker = EnginePicker::new("jetty".into());
     assert_eq!(pick(&picker, now, &directory, None, &[]).as_deref(), Some("e2"));
-    let silent = directory.get(&BackEndName::new("e1")).expect("known").clone();
+    let silent = directory.get(&BackEndName::new("e1")).expect("the engine is known").clone();
     picker.on_start(now, &silent.notice.engine, None);
     picker.on_end(now, &silent, None, AttemptEnd::Answered);
     let used =
         (0..40).any(|s| pick(&picker, now, &directory, Some(s), &[]).as_deref() == Some("e1"));
-    assert!(used, "an engine that answers is there, whatever is announced");
+    assert!(used, "an engine that responds is good even if it is not announced");
 }
--- a/crates/gateway-core/tests/limits.rs
+++ b/crates/gateway-core/tests/limits.rs
@@ -6,7 +6,7 @@
 
 const LIMITS: RetryLimits = RetryLimits { permille: 200, extra: 52, window: Millis(10_000) };
 
-/// Requests and repeats of several routers, each with its time.
+/// Requests and retries of several routers, each with the time since the previous one.
 fn traffic() -> impl Strategy<Value = Vec<(u64, usize, bool)>> {
     prop::collection::vec((0_u64..200, 0_usize..6, any::<bool>()), 1..600)
 }
@@ -20,33 +20,33 @@
     })]
 
     #[test]
-    fn the_fleet_keeps_the_bound_in_every_window(traffic in traffic()) {
+    fn the_fleet_keeps_the_retry_limit_in_every_window(traffic in traffic()) {
         let service = ServiceName::new("models");
         let mut routers = vec![RetryBudget::new(LIMITS, 6); 6];
-        let (mut requests, mut repeats, mut now) = (Vec::new(), Vec::new(), 1_000);
-        for (pause, router, repeat) in traffic {
+        let (mut requests, mut retries, mut now) = (Vec::new(), Vec::new(), 1_000);
+        for (pause, router, is_retry) in traffic {
             now += pause;
-            if !repeat {
+            if !is_retry {
                 routers[router].note_request(Timestamp(now), &service);
                 requests.push(now);
             } else if routers[router].try_retry(Timestamp(now), &service) {
-                repeats.push(now);
+                retries.push(now);
             }
             let from = now.saturating_sub(LIMITS.window.0);
             let within = |times: &[u64]| times.iter().filter(|time| **time >= from).count() as u64;
             let allowed = within(&requests) * LIMITS.permille / 1_000 + LIMITS.extra;
-            prop_assert!(within(&repeats) <= allowed);
+            prop_assert!(within(&retries) <= allowed);
         }
     }
 
     #[test]
-    fn events_come_out_whole_however_the_bytes_are_cut(cuts in prop::collection::vec(1_usize..40, 0..40)) {
+    fn events_are_whole_for_any_split_of_the_bytes(chunk_sizes in prop::collection::vec(1_usize..40, 0..40)) {
         let text: String = (1..30).map(|id| format!("id: {id}\ndata: piece {id}\n\n")).collect();
         let bytes = text.as_bytes();
         let mut splitter = EventSplitter::default();
         let (mut events, mut at) = (Vec::new(), 0);
-        for cut in cuts.into_iter().chain([bytes.len()]) {
-            let end = (at + cut).min(bytes.len());
+        for chunk_size in chunk_sizes.into_iter().chain([bytes.len()]) {
+            let end = (at + chunk_size).min(bytes.len());
             splitter.push(&bytes[at..end]);
             at = end;
             while let Some(event) = splitter.next_event() {
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn an_unfinished_event_is_held_back() {
+fn an_incomplete_event_is_buffered() {
     let mut splitter = EventSplitter::default();
     splitter.push(b"id: 1\ndata: a\n\nid: 2\nda");
     assert_eq!(splitter.next_event().and_then(|event| event.id), Some(1));
@@ -70,10 +70,10 @@
 }
 
 #[test]
-fn the_number_of_routers_never_falls() {
+fn the_number_of_routers_never_decreases() {
     let service = ServiceName::new("models");
     let mut budget = RetryBudget::new(LIMITS, 6);
     budget.set_routers(60);
     budget.set_routers(1);
-    assert!(!budget.try_retry(Timestamp(1_000), &service), "a 60th of 52 is less than one");
+    assert!(!budget.try_retry(Timestamp(1_000), &service), "1/60 of 52 is less than one retry");
 }
--- a/crates/gateway-core/tests/load_shedding.rs
+++ b/crates/gateway-core/tests/load_shedding.rs
@@ -1,4 +1,4 @@
-//! Who is let in while engines state that they take less than is asked.
+//! Which requests are admitted while demand exceeds the rates that engines state.
 
 use stackpost_gateway_core::*;
 use stackpost_types::*;
@@ -12,21 +12,22 @@
     "plain".into()
 }
 
-/// Requests of these classes, so many a second each, for twenty seconds before engines that take
-/// `rate` a second in all. Returns how many of each got a permit a second in the second half.
-fn play(classes: &[(RequestClass, u64)], rate: u32) -> BTreeMap<RequestClass, f64> {
+/// Simulates 20 s of requests, with a rate per second for each class, at engines that accept `rate`
+/// per second in all. Returns the permits per second of each class in the second half.
+fn simulate(classes: &[(RequestClass, u64)], rate: u32) -> BTreeMap<RequestClass, f64> {
     let mut shedding = LoadShedder::default();
     let owned = RequestRate::from_milli_rps(rate * 1_000);
-    let (mut level, mut got, mut lot) = (0.0_f64, BTreeMap::new(), 0_u64);
+    let (mut level, mut permits, mut request_hash) = (0.0_f64, BTreeMap::new(), 0_u64);
     for step in 0..20_000 {
         let now = Timestamp(1_000 + step);
         level = (level + f64::from(rate) / 1_000.0).min(2.0);
-        for (class, a_second) in
-            classes.iter().filter(|(_, a_second)| step % (1_000 / a_second) == 0)
+        for (class, per_second) in
+            classes.iter().filter(|(_, per_second)| step % (1_000 / per_second) == 0)
         {
-            lot =
-                lot.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-            if !shedding.admits(now, &service(), class, owned, lot >> 32) {
+            request_hash = request_hash
+                .wrapping_mul(6_364_136_223_846_793_005)
+                .wrapping_add(1_442_695_040_888_963_407);
+            if !shedding.admits(now, &service(), class, owned, request_hash >> 32) {
                 continue;
             }
             if level < 1.0 {
@@ -36,36 +37,36 @@
             level -= 1.0;
             shedding.on_permit(&service());
             if step >= 10_000 {
-                *got.entry(class.clone()).or_insert(0.0) += 0.1;
+                *permits.entry(class.clone()).or_insert(0.0) += 0.1;
             }
-            let _ = a_second;
+            let _ = per_second;
         }
     }
-    got
+    permits
 }
 
 #[test]
-fn the_more_urgent_go_first_and_nobody_starves() {
-    let (urgent, usual, late) = (class(0, "a"), class(1, "a"), class(2, "a"));
-    let got = play(&[(late.clone(), 100), (usual.clone(), 20), (urgent.clone(), 10)], 20);
-    let served = |class: &RequestClass, asked: f64| got[class] / asked;
-    assert!(served(&urgent, 10.0) >= served(&usual, 20.0) - 0.05, "{got:?}");
-    assert!(served(&usual, 20.0) >= served(&late, 100.0) - 0.05, "{got:?}");
-    assert!(got[&late] >= 1.0, "{got:?}");
-    assert!(got.values().sum::<f64>() >= 17.0, "what can be had is used: {got:?}");
+fn higher_priorities_go_first_and_none_starves() {
+    let (high, normal, low) = (class(0, "a"), class(1, "a"), class(2, "a"));
+    let permits = simulate(&[(low.clone(), 100), (normal.clone(), 20), (high.clone(), 10)], 20);
+    let served = |class: &RequestClass, demand: f64| permits[class] / demand;
+    assert!(served(&high, 10.0) >= served(&normal, 20.0) - 0.05, "{permits:?}");
+    assert!(served(&normal, 20.0) >= served(&low, 100.0) - 0.05, "{permits:?}");
+    assert!(permits[&low] >= 1.0, "{permits:?}");
+    assert!(permits.values().sum::<f64>() >= 17.0, "the capacity is used: {permits:?}");
 }
 
 #[test]
-fn tenants_share_alike_up_to_what_they_ask_for() {
+fn tenants_get_equal_shares_up_to_their_demand() {
     let (large, small, tiny) = (class(1, "large"), class(1, "small"), class(1, "tiny"));
-    let got = play(&[(large.clone(), 100), (small.clone(), 20), (tiny.clone(), 4)], 20);
-    assert!(got[&tiny] >= 3.0, "{got:?}");
-    assert!((5.0..11.0).contains(&got[&small]), "{got:?}");
-    assert!((5.0..11.0).contains(&got[&large]), "{got:?}");
+    let permits = simulate(&[(large.clone(), 100), (small.clone(), 20), (tiny.clone(), 4)], 20);
+    assert!(permits[&tiny] >= 3.0, "{permits:?}");
+    assert!((5.0..11.0).contains(&permits[&small]), "{permits:?}");
+    assert!((5.0..11.0).contains(&permits[&large]), "{permits:?}");
 }
 
 #[test]
-fn nobody_is_shed_while_there_are_permits() {
+fn no_request_is_shed_while_permits_are_available() {
     let mut shedding = LoadShedder::default();
     for step in 0..5_000 {
         let owned = RequestRate::ZERO;
@@ -74,27 +75,32 @@
 }
 
 #[test]
-fn callers_return_at_the_pace_at_which_permits_come() {
+fn retries_are_spaced_at_the_permit_rate() {
     let mut shedding = LoadShedder::default();
     let owned = RequestRate::from_milli_rps(10_000);
     for now in [1_000, 2_000] {
         shedding.admits(Timestamp(now), &service(), &class(1, "a"), owned, 0);
     }
     let now = Timestamp(2_000);
-    let mut told = |lot| shedding.retry_delay(now, &service(), Millis(50), Millis(1_000), lot).0;
-    let first: Vec<u64> = (0..10).map(&mut told).collect();
+    let mut delay = |request_hash| {
+        shedding.retry_delay(now, &service(), Millis(50), Millis(1_000), request_hash).0
+    };
+    let first: Vec<u64> = (0..10).map(&mut delay).collect();
     assert_eq!(first, [50, 150, 250, 350, 450, 550, 650, 750, 850, 950]);
-    let late: Vec<u64> = (0..500).map(|lot| told(lot * 7)).collect();
-    assert!(late.iter().all(|after| (500..=1_000).contains(after)), "none later than is of use");
+    let delayed: Vec<u64> = (0..500).map(|request_hash| delay(request_hash * 7)).collect();
+    assert!(
+        delayed.iter().all(|delay| (500..=1_000).contains(delay)),
+        "no delay is beyond the latest useful time"
+    );
 }
 
 #[test]
-fn a_caller_that_has_no_time_is_not_told_to_stay_away_longer() {
+fn the_retry_delay_is_within_the_callers_time() {
     let mut shedding = LoadShedder::default();
     let owned = RequestRate::ZERO;
     shedding.admits(Timestamp(1_000), &service(), &class(1, "a"), owned, 0);
-    let told = shedding.retry_delay(Timestamp(1_000), &service(), Millis(900), Millis(0), 5);
-    assert_eq!(told, Millis(0));
-    let told = shedding.retry_delay(Timestamp(1_000), &service(), Millis(900), Millis(100), 5);
-    assert!(told <= Millis(100));
+    let delay = shedding.retry_delay(Timestamp(1_000), &service(), Millis(900), Millis(0), 5);
+    assert_eq!(delay, Millis(0));
+    let delay = shedding.retry_delay(Timestamp(1_000), &service(), Millis(900), Millis(100), 5);
+    assert!(delay <= Millis(100));
 }
--- a/crates/gateway-core/tests/placement.rs
+++ b/crates/gateway-core/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Where generations go, by what is known of the engines.
+//! The placement of generations by the load of the engines.
 
 use stackpost_gateway_core::*;
 use stackpost_types::*;
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_subject_keeps_its_engine_while_nothing_is_late() {
+fn a_subject_keeps_its_engine_while_no_request_is_late() {
     let directory = directory(&["e1", "e2", "e3", "e4"]);
     let mut picker = EnginePicker::new("hall".into());
     let home = send(&mut picker, START, &directory, 7, work(4_000, 800));
@@ -92,11 +92,11 @@
     assert_ne!(moved.engine.notice.engine, engine);
     let later = START + Millis(30_000);
     let back = pick(&picker, later, &directory, 7, work(100, 300));
-    assert_eq!(back.engine.notice.engine, engine, "what was read is forgotten");
+    assert_eq!(back.engine.notice.engine, engine, "the tokens have been prefilled by then");
 }
 
 #[test]
-fn a_long_prompt_goes_where_few_streams_run() {
+fn a_long_prompt_goes_to_the_engine_with_few_streams() {
     let directory = directory(&["e1", "e2", "e3"]);
     let mut picker = EnginePicker::new("hall".into());
     for engine in ["e1", "e3"] {
@@ -110,98 +110,106 @@
 }
 
 #[test]
-fn an_engine_that_lets_a_request_wait_beyond_what_was_expected_is_left_alone() {
+fn an_engine_with_an_overdue_first_event_is_avoided() {
     let directory = directory(&["e1", "e2", "e3"]);
     let mut picker = EnginePicker::new("hall".into());
-    let mute = send(&mut picker, START, &directory, 7, work(100, 300));
+    let overdue = send(&mut picker, START, &directory, 7, work(100, 300));
     let later = START + Millis(1_500);
     let next = pick(&picker, later, &directory, 7, work(100, 300));
-    assert_ne!(name(&next), name(&mute));
-    let sent = mute.placement.as_ref();
-    picker.on_end(later, &mute.engine, sent, AttemptEnd::Abandoned);
+    assert_ne!(name(&next), name(&overdue));
+    let sent = overdue.placement.as_ref();
+    picker.on_end(later, &overdue.engine, sent, AttemptEnd::Abandoned);
     let again = pick(&picker, later, &directory, 7, work(100, 300));
-    assert_eq!(name(&again), name(&mute), "nothing waits there any more");
+    assert_eq!(name(&again), name(&overdue), "no first event is outstanding there");
 }
 
 #[test]
-fn the_reading_speed_is_learned_and_one_odd_reading_does_not_matter() {
+fn the_prefill_speed_is_learned_and_ignores_an_outlier() {
     let mut load = EngineLoad::default();
-    let job = work(0, 20_000);
+    let generation = work(0, 20_000);
     let mut now = START;
-    let mut read = |load: &mut EngineLoad, took: u64| {
-        let estimate = load.estimate(now, None, &job, false);
-        let sent = Placement { work: job, subject: None, estimate, cost: PlacementCost::default() };
+    let mut run_prefill = |load: &mut EngineLoad, elapsed: u64| {
+        let estimate = load.estimate(now, None, &generation, false);
+        let sent =
+            Placement { work: generation, subject: None, estimate, cost: PlacementCost::default() };
         load.on_sent(now, None, &sent);
-        now = now + Millis(took);
-        load.on_first_event(now, None, &estimate, Millis(took));
-        load.on_end(&job, &estimate);
+        now = now + Millis(elapsed);
+        load.on_first_event(now, None, &estimate, Millis(elapsed));
+        load.on_end(&generation, &estimate);
         now = now + Millis(5_000);
     };
     for _ in 0..60 {
-        read(&mut load, 230);
+        run_prefill(&mut load, 230);
     }
     let learned = load.prefill_speed(None);
     assert!((85.0..115.0).contains(&learned), "20,000 tokens in 200 ms: {learned}");
-    read(&mut load, 32);
-    assert!(load.prefill_speed(None) < learned * 1.1, "a prompt that was kept after all");
+    run_prefill(&mut load, 32);
+    assert!(
+        load.prefill_speed(None) < learned * 1.1,
+        "one unexpectedly cached prompt changes little"
+    );
 }
 
 #[test]
-fn what_was_read_before_a_first_event_is_done() {
+fn a_first_event_completes_the_prefill_before_it() {
     let mut load = EngineLoad::default();
-    let job = work(0, 30_000);
-    let estimate = load.estimate(START, None, &job, false);
-    let sent = Placement { work: job, subject: None, estimate, cost: PlacementCost::default() };
+    let generation = work(0, 30_000);
+    let estimate = load.estimate(START, None, &generation, false);
+    let sent =
+        Placement { work: generation, subject: None, estimate, cost: PlacementCost::default() };
     load.on_sent(START, None, &sent);
-    assert!(load.to_read(START + Millis(5_000), None) >= 30_000.0, "its first event has not come");
+    assert!(
+        load.to_read(START + Millis(5_000), None) >= 30_000.0,
+        "its first event is outstanding"
+    );
     load.on_first_event(START + Millis(5_000), None, &estimate, Millis(5_000));
     assert_eq!(load.to_read(START + Millis(5_000), None), 0.0);
 }
 
 #[test]
-fn other_routers_are_told_once_of_what_was_sent_and_at_the_end_that_nothing_runs() {
+fn load_is_reported_once_and_again_when_streams_have_ended() {
     let directory = directory(&["e1"]);
     let mut picker = EnginePicker::new("hall".into());
     let sent = send(&mut picker, START, &directory, 7, work(4_000, 1_000));
     let engine = sent.engine.notice.engine.clone();
     assert!(picker.unreported(&engine) >= Tokens(1_000));
-    let news = picker.take_updates(false);
-    assert_eq!(news.len(), 1);
-    assert_eq!(news[0].1.prefixes, vec![7]);
-    assert!(news[0].1.running > 0.0);
+    let updates = picker.take_updates(false);
+    assert_eq!(updates.len(), 1);
+    assert_eq!(updates[0].1.prefixes, vec![7]);
+    assert!(updates[0].1.running > 0.0);
     assert_eq!(picker.unreported(&engine), Tokens::ZERO);
-    assert!(picker.take_updates(true).is_empty(), "nothing that is urgent");
-    assert_eq!(picker.take_updates(false)[0].1.to_read, 0, "told before");
+    assert!(picker.take_updates(true).is_empty(), "no unreported tokens to prefill");
+    assert_eq!(picker.take_updates(false)[0].1.to_read, 0, "already reported");
     picker.on_end(START, &sent.engine, sent.placement.as_ref(), AttemptEnd::Answered);
     assert_eq!(picker.take_updates(false)[0].1.running, 0.0);
-    assert!(picker.take_updates(false).is_empty(), "there is nothing more to say");
+    assert!(picker.take_updates(false).is_empty(), "everything has been reported");
 }
 
 #[test]
-fn the_word_of_a_router_that_is_gone_is_forgotten() {
+fn the_load_reported_by_a_stopped_router_expires() {
     let mut load = EngineLoad::default();
-    let news = EngineLoadUpdate { running: 9.0, ..EngineLoadUpdate::default() };
-    load.on_peer_update(START, None, 1, &news);
+    let update = EngineLoadUpdate { running: 9.0, ..EngineLoadUpdate::default() };
+    load.on_peer_update(START, None, 1, &update);
     assert_eq!(load.running(START + Millis(1_000)), 9.0);
     assert_eq!(load.running(START + Millis(4_500)), 0.0);
 }
 
-/// Anyone may send what looks like news from another router.
+/// Any host may send a datagram that looks like an update of another router.
 #[test]
-fn news_of_engines_that_nobody_knows_is_bounded() {
+fn updates_about_unknown_engines_are_bounded() {
     let mut picker = EnginePicker::new("hall".into());
-    let mut teller = EnginePicker::new("hall".into());
-    let choice = pick(&teller, START, &directory(&["e1"]), 1, work(0, 1_000));
-    teller.on_start(START, &choice.engine.notice.engine, choice.placement.as_ref());
-    let (_, news) = teller.take_updates(false).pop().expect("something to tell");
+    let mut sender = EnginePicker::new("hall".into());
+    let choice = pick(&sender, START, &directory(&["e1"]), 1, work(0, 1_000));
+    sender.on_start(START, &choice.engine.notice.engine, choice.placement.as_ref());
+    let (_, update) = sender.take_updates(false).pop().expect("an update is due");
     for number in 0..10_000 {
-        picker.on_peer_update(START, 7, BackEndName::new(format!("x{number}")), &news);
+        picker.on_peer_update(START, 7, BackEndName::new(format!("x{number}")), &update);
     }
-    let kept = (0..10_000).filter(|number| {
+    let known = (0..10_000).filter(|number| {
         let engine = BackEndName::new(format!("x{number}"));
         picker.to_read(START, &engine) > Tokens::ZERO
     });
-    assert!(kept.count() <= 4_096);
+    assert!(known.count() <= 4_096);
     picker.forget_unknown(START, &EngineDirectory::default());
     assert_eq!(picker.to_read(START, &"x1".into()), Tokens::ZERO);
 }
--- a/crates/gateway-core/tests/routing.rs
+++ b/crates/gateway-core/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Routes, keys and the checks of a configuration.
+//! Routes, keys and the validation of a configuration.
 
 use stackpost_gateway_core::*;
 use stackpost_types::*;
@@ -58,9 +58,9 @@
 
 #[test]
 fn a_key_is_needed_unless_the_route_is_public() {
-    let mut open = config();
-    open.routes[0].public = true;
-    let table = RouteTable::new(open);
+    let mut public_config = config();
+    public_config.routes[0].public = true;
+    let table = RouteTable::new(public_config);
     let admitted = |key, path| table.admit("ferry.example", path, key);
     assert!(matches!(
         admitted(Some("b"), "/pass/1"),
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_split_follows_its_weights_and_is_the_same_for_the_same_request() {
+fn a_split_follows_its_weights_and_is_stable_per_request() {
     let mut split = route("split", "/");
     split.split = vec![
         Split { service: "old".into(), weight: 9 },
@@ -80,7 +80,10 @@
     ];
     let ids: Vec<String> = (0..2_000).map(|number| format!("request-{number}")).collect();
     let new = ids.iter().filter(|id| split.service_for(id).as_str() == "new").count();
-    assert!((140..260).contains(&new), "{new} of 2000 went to a tenth");
+    assert!(
+        (140..260).contains(&new),
+        "{new} of 2000 went to the service with a tenth of the weight"
+    );
     assert_eq!(split.service_for("request-5"), split.service_for("request-5"));
     split.split[0].weight = 0;
     assert!(ids.iter().all(|id| split.service_for(id).as_str() == "new"));
@@ -89,29 +92,29 @@
 #[test]
 fn every_rule_of_a_configuration_is_checked() {
     assert_eq!(config().validate(), Ok(()));
-    let broken = |change: fn(&mut RoutingConfig)| {
+    let error_of = |change: fn(&mut RoutingConfig)| {
         let mut config = config();
         change(&mut config);
-        config.validate().expect_err("the change breaks a rule")
+        config.validate().expect_err("the changed configuration is invalid")
     };
     assert!(matches!(
-        broken(|config| config.routes[1].split[0].service = "ghost".into()),
+        error_of(|config| config.routes[1].split[0].service = "ghost".into()),
         ConfigError::UnknownService { .. }
     ));
     assert!(matches!(
-        broken(|config| config.routes[1].path_prefix = "/".into()),
+        error_of(|config| config.routes[1].path_prefix = "/".into()),
         ConfigError::DuplicateRoute { .. }
     ));
     assert!(matches!(
-        broken(|config| config.routes[1].split[0].weight = 0),
+        error_of(|config| config.routes[1].split[0].weight = 0),
         ConfigError::ZeroWeight(_)
     ));
     assert!(matches!(
-        broken(|config| config.routes[1].timeout = Millis(0)),
+        error_of(|config| config.routes[1].timeout = Millis(0)),
         ConfigError::ZeroTimeout(_)
     ));
     assert!(matches!(
-        broken(|config| config.tenants = Some(vec![tenant("a", &["k"]), tenant("b", &["k"])])),
+        error_of(|config| config.tenants = Some(vec![tenant("a", &["k"]), tenant("b", &["k"])])),
         ConfigError::SharedKey { .. }
     ));
 }
--- a/crates/gateway-core/tests/slot_shares.rs
+++ b/crates/gateway-core/tests/slot_shares.rs
@@ -1,4 +1,4 @@
-//! Slots of engines belong to one router each, whoever works it out.
+//! Each slot of an engine belongs to one router, the same in every router's view.
 
 use proptest::prelude::*;
 use stackpost_gateway_core::*;
@@ -26,10 +26,10 @@
             known_for: Millis(0),
         },
     );
-    directory.get(&name).expect("it is known").clone()
+    directory.get(&name).expect("the engine is known").clone()
 }
 
-/// What each of the routers takes for its own, if all know all of them.
+/// The slot shares of each router, if all routers know one another.
 fn views(routers: usize) -> Vec<SlotShares> {
     let all: Vec<SocketAddr> = (0..routers).map(address).collect();
     let view = |own: &SocketAddr| {
@@ -50,27 +50,27 @@
         prop_assert_eq!(owned, slots);
     }
 
-    /// A router that is gone leaves its slots to the others and moves no other one.
+    /// The slots of a stopped router move to the others, and no other slot moves.
     #[test]
-    fn only_the_slots_of_a_router_that_is_gone_move(routers in 2_usize..9, number in 0_u8..20) {
+    fn only_the_slots_of_an_absent_router_move(routers in 2_usize..9, number in 0_u8..20) {
         let engine = engine(number, 24);
         let now = Timestamp(1_000);
         let mut views = views(routers);
-        let gone = views.remove(0).free(now, &engine);
+        let absent = views.remove(0).free(now, &engine);
         let before: Vec<u32> = views.iter_mut().map(|view| view.free(now, &engine)).collect();
         views.iter_mut().for_each(|view| view.on_no_answer(now, address(0)));
         let after: Vec<u32> = views.iter_mut().map(|view| view.free(now, &engine)).collect();
         prop_assert!(before.iter().zip(&after).all(|(before, after)| before <= after));
         prop_assert_eq!(after.iter().sum::<u32>(), 24);
-        prop_assert_eq!(before.iter().sum::<u32>() + gone, 24);
+        prop_assert_eq!(before.iter().sum::<u32>() + absent, 24);
         let back = now + Millis(1_000);
-        let again: Vec<u32> = views.iter_mut().map(|view| view.free(back, &engine)).collect();
-        prop_assert_eq!(again, before, "it is asked again after a second");
+        let restored: Vec<u32> = views.iter_mut().map(|view| view.free(back, &engine)).collect();
+        prop_assert_eq!(restored, before, "its slots are its own again after a second");
     }
 }
 
 #[test]
-fn a_slot_in_use_is_not_free_until_it_is_given_back() {
+fn a_slot_in_use_is_free_only_after_release() {
     let (engine, now) = (engine(1, 2), Timestamp(1_000));
     let mut shares = SlotShares::new(address(0));
     assert_eq!(shares.free(now, &engine), 2);
@@ -78,14 +78,14 @@
     assert_eq!(shares.free(now, &engine), 1);
     shares.take(&engine.notice.engine);
     shares.take(&engine.notice.engine);
-    assert_eq!(shares.free(now, &engine), 0, "more than it has");
+    assert_eq!(shares.free(now, &engine), 0, "more slots are in use than the router owns");
     shares.release_slot(&engine.notice.engine);
     shares.release_slot(&engine.notice.engine);
     assert_eq!(shares.free(now, &engine), 1);
 }
 
 #[test]
-fn a_service_is_held_to_its_slots_for_a_minute_after_a_wish_for_rest() {
+fn a_service_is_slot_limited_for_a_minute_after_a_backoff() {
     let mut shares = SlotShares::new(address(0));
     let service = ServiceName::new("plain");
     assert!(!shares.is_slot_limited(Timestamp(1_000), &service));
