--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: one request sent to one engine, up to the head of its answer.
+//! One attempt: a request is sent to one engine, up to the head of the response.
 
 use crate::connection_pool::EngineConnection;
 use crate::decision_log;
@@ -17,7 +17,7 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// Headers that concern one connection only.
+/// Headers that apply to a single connection.
 const HOP_BY_HOP: [HeaderName; 7] = [
     header::CONNECTION,
     HeaderName::from_static("keep-alive"),
@@ -28,7 +28,7 @@
     header::UPGRADE,
 ];
 
-/// What every attempt of a request sends.
+/// The parts of a request that every attempt sends.
 pub(crate) struct Payload {
     pub method: Method,
     pub uri: Uri,
@@ -37,47 +37,48 @@
     pub caller: CallerRequest,
 }
 
-/// An engine for an attempt, and the permit to send the request there if something of it is to be given back.
+/// The engine of an attempt, and the permit to send the request there if it must be released
+/// afterwards.
 pub(crate) struct SelectedEngine {
     pub choice: EngineChoice,
     pub permit: Option<Permit>,
 }
 
-/// How an attempt went.
+/// Outcome of an attempt.
 pub(crate) enum AttemptResult {
     /// Nothing was sent.
     Unreachable,
-    /// The engine says that it did not run the request.
+    /// The engine states that it did not run the request.
     NotRun,
-    /// The connection ended; the request may have run, and the engine may have ended under it.
+    /// The connection ended; the request may have run, and the engine may have crashed.
     Interrupted,
-    /// What came is not the answer to this request, which may have run.
+    /// The response does not belong to this request, which may have run.
     InvalidResponse,
-    /// The time for a head is over; the request may have run.
+    /// No head arrived in time; the request may have run.
     HeadTimeout,
-    /// The head of the engine's answer.
+    /// The head of the response was received.
     Answered(Box<EngineResponse>),
 }
 
-/// An engine's answer whose body is still to come.
+/// An engine's response whose body has not been read.
 pub(crate) struct EngineResponse {
     pub head: response::Parts,
     pub body: Incoming,
     pub attempt: ActiveAttempt,
 }
 
-/// A connection in use and the engine's part in the picker's counts. Dropped without
-/// [`Self::finish`] it closes the connection, so that the engine stops.
+/// A connection in use, and the attempt's share of the picker's counters. If it is dropped without
+/// [`Self::finish`], the connection is closed so that the engine stops working on the request.
 pub(crate) struct ActiveAttempt {
     router: Rc<Router>,
     engine: EngineRecord,
     placement: Option<Placement>,
     standing: Standing,
-    since: Instant,
-    /// The same by the router's clock.
+    started: Instant,
+    /// The same instant on the router's clock.
     sent_at: Timestamp,
     connection: Option<EngineConnection>,
-    /// Kept for as long as the engine works on the request.
+    /// Held while the engine works on the request.
     _permit: Option<Permit>,
     ended: bool,
 }
@@ -86,13 +87,13 @@
     fn new(router: Rc<Router>, choice: EngineChoice, permit: Option<Permit>) -> Self {
         let EngineChoice { engine, placement, standing } = choice;
         router.on_placed(&engine.notice.engine, placement.as_ref());
-        let (since, sent_at) = (Instant::now(), router.now());
+        let (started, sent_at) = (Instant::now(), router.now());
         Self {
             router,
             engine,
             placement,
             standing,
-            since,
+            started,
             sent_at,
             connection: None,
             _permit: permit,
@@ -100,14 +101,14 @@
         }
     }
 
-    /// What was expected of a generation when it was sent.
+    /// The estimate made for a generation when it was sent.
     pub fn placement(&self) -> Option<&Placement> {
         self.placement.as_ref()
     }
 
-    /// The first event of a stream is here. Returns how long that took.
+    /// Records the first event of a stream. Returns the time since the attempt began.
     pub fn on_first_event(&self) -> Duration {
-        let took = self.since.elapsed();
+        let took = self.started.elapsed();
         if let Some(placement) = &self.placement {
             let (now, engine) = (self.router.now(), &self.engine.notice.engine);
             let took = Millis(took.as_millis() as u64);
@@ -116,32 +117,30 @@
         took
     }
 
-    /// How the engine stood when it was chosen.
+    /// The engine's standing when it was selected.
     pub fn standing(&self) -> Standing {
         self.standing
     }
 
-    /// The engine.
     pub fn engine(&self) -> &EngineRecord {
         &self.engine
     }
 
-    /// The engine's name.
     pub fn name(&self) -> &BackEndName {
         &self.engine.notice.engine
     }
 
-    /// Ends the use. The connection is kept only if `keep` holds the head of an answer that came
-    /// in whole and does not say that the connection ends.
+    /// Ends the attempt. The connection is kept only if `keep` holds the head of a response that
+    /// was received completely and does not ask to close the connection.
     pub fn finish(mut self, end: AttemptEnd, keep: Option<&HeaderMap>) {
         self.end(end);
         let Some(connection) = self.connection.take() else {
             return;
         };
         match keep {
-            Some(headers) if !says_close(headers) => {
-                let granted = granted_rest(headers);
-                self.router.pool.release(&self.engine.notice.engine, connection, granted);
+            Some(headers) if !asks_to_close(headers) => {
+                let idle_limit = keep_alive_timeout(headers);
+                self.router.pool.release(&self.engine.notice.engine, connection, idle_limit);
             }
             _ => connection.close(),
         }
@@ -166,20 +165,20 @@
     }
 }
 
-/// Sends a request to an engine and waits for the head of the answer until `head_until`.
+/// Sends a request to an engine and waits for the head of the response until `head_deadline`.
 pub(crate) async fn send(
     router: &Rc<Router>,
-    chosen: SelectedEngine,
+    selected: SelectedEngine,
     payload: &Payload,
-    addressing: &EngineRequestHeaders<'_>,
+    engine_headers: &EngineRequestHeaders<'_>,
     fresh: bool,
-    head_until: Instant,
+    head_deadline: Instant,
     on_sent: impl FnOnce(),
 ) -> AttemptResult {
-    let mut attempt = ActiveAttempt::new(router.clone(), chosen.choice, chosen.permit);
-    let begun = Instant::now();
+    let mut attempt = ActiveAttempt::new(router.clone(), selected.choice, selected.permit);
+    let connect_started = Instant::now();
     let connecting = router.pool.acquire(&attempt.engine, fresh);
-    let mut connection = match timeout_at(head_until, connecting).await {
+    let mut connection = match timeout_at(head_deadline, connecting).await {
         Ok(Ok(connection)) => connection,
         Ok(Err(error)) => {
             log_end(payload, &attempt, "connect", &error.to_string());
@@ -189,21 +188,22 @@
         Err(_) => return AttemptResult::Unreachable,
     };
     if !connection.reused {
-        router.congestion.on_connected(Instant::now().into_std(), begun.elapsed());
+        router.congestion.on_connected(Instant::now().into_std(), connect_started.elapsed());
     }
-    // While the request waited for a permit or a connection, the engine may have left, or asked for rest in another answer.
+    // While the request waited for a permit or a connection, the engine may have left, or asked for
+    // a backoff in another response.
     if !router.may_send(attempt.name()) {
-        log_end(payload, &attempt, "connect", "the engine takes no more work meanwhile");
+        log_end(payload, &attempt, "connect", "engine has since left or asked for a backoff");
         attempt.finish(AttemptEnd::Abandoned, None);
         return AttemptResult::Unreachable;
     }
-    let request = engine_request(router, payload, addressing);
+    let request = engine_request(router, payload, engine_headers);
     on_sent();
-    let answer = connection.sender.try_send_request(request);
+    let response_future = connection.sender.try_send_request(request);
     attempt.connection = Some(connection);
-    match timeout_at(head_until, answer).await {
+    match timeout_at(head_deadline, response_future).await {
         Err(_) => {
-            log_end(payload, &attempt, "head", "no head in time");
+            log_end(payload, &attempt, "head", "no response head before the timeout");
             attempt.finish(AttemptEnd::Broken, None);
             AttemptResult::HeadTimeout
         }
@@ -217,11 +217,11 @@
             attempt.finish(AttemptEnd::Broken, None);
             AttemptResult::Interrupted
         }
-        Ok(Ok(response)) => judge(router, payload, attempt, response),
+        Ok(Ok(response)) => classify(router, payload, attempt, response),
     }
 }
 
-fn judge(
+fn classify(
     router: &Router,
     payload: &Payload,
     attempt: ActiveAttempt,
@@ -230,37 +230,37 @@
     let (head, body) = response.into_parts();
     match router.header_codec.classify_response(&payload.caller, head.status, &head.headers) {
         ResponseClass::NotRun => {
-            let wishes =
+            let directives =
                 router.header_codec.read_directives(&payload.caller, head.status, &head.headers);
-            decision_log::rejected_by_engine(router, payload, &attempt, head.status, &wishes);
-            router.on_directives(&payload.caller.id, attempt.name(), attempt.sent_at, &wishes);
-            attempt.finish(turned_away_end(head.status, &wishes), None);
+            decision_log::rejected_by_engine(router, payload, &attempt, head.status, &directives);
+            router.on_directives(&payload.caller.id, attempt.name(), attempt.sent_at, &directives);
+            attempt.finish(rejection_end(head.status, &directives), None);
             AttemptResult::NotRun
         }
         ResponseClass::WrongEngine => {
-            log_end(payload, &attempt, "answer", "another engine is there");
+            log_end(payload, &attempt, "answer", "another engine answered at this address");
             attempt.finish(AttemptEnd::Unreachable, None);
             AttemptResult::NotRun
         }
         ResponseClass::OtherRequest | ResponseClass::Unsigned => {
-            log_end(payload, &attempt, "answer", "not the answer to this request");
+            log_end(payload, &attempt, "answer", "response does not belong to this request");
             attempt.finish(AttemptEnd::Broken, None);
             AttemptResult::InvalidResponse
         }
         ResponseClass::Verified => {
-            let wishes =
+            let directives =
                 router.header_codec.read_directives(&payload.caller, head.status, &head.headers);
             router.picker.borrow_mut().on_accepted(attempt.name(), attempt.sent_at);
-            router.on_directives(&payload.caller.id, attempt.name(), attempt.sent_at, &wishes);
+            router.on_directives(&payload.caller.id, attempt.name(), attempt.sent_at, &directives);
             AttemptResult::Answered(Box::new(EngineResponse { head, body, attempt }))
         }
     }
 }
 
-/// What a request that was turned away says of the engine: with a wish for rest only what the engine wants.
-fn turned_away_end(status: StatusCode, wishes: &EngineDirectives) -> AttemptEnd {
+/// What a rejection shows of the engine: with a backoff directive only that it wants a backoff.
+fn rejection_end(status: StatusCode, directives: &EngineDirectives) -> AttemptEnd {
     match status {
-        _ if wishes.backoff.is_some() => AttemptEnd::BackoffRequested,
+        _ if directives.backoff.is_some() => AttemptEnd::BackoffRequested,
         StatusCode::SERVICE_UNAVAILABLE => AttemptEnd::Full,
         _ => AttemptEnd::Answered,
     }
@@ -269,18 +269,18 @@
 fn engine_request(
     router: &Router,
     payload: &Payload,
-    addressing: &EngineRequestHeaders<'_>,
+    engine_headers: &EngineRequestHeaders<'_>,
 ) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(payload.body.clone()));
     *request.method_mut() = payload.method.clone();
     *request.uri_mut() = payload.uri.clone();
     let mut headers = payload.headers.clone();
-    router.header_codec.write_engine_headers(&mut headers, addressing);
+    router.header_codec.write_engine_headers(&mut headers, engine_headers);
     *request.headers_mut() = headers;
     request
 }
 
-/// Removes what concerns one connection only.
+/// Removes the headers that apply to a single connection.
 pub(crate) fn strip_connection_headers(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
@@ -294,7 +294,7 @@
     }
 }
 
-fn says_close(headers: &HeaderMap) -> bool {
+fn asks_to_close(headers: &HeaderMap) -> bool {
     headers
         .get_all(header::CONNECTION)
         .iter()
@@ -303,8 +303,8 @@
         .any(|token| token.trim().eq_ignore_ascii_case("close"))
 }
 
-/// How long the engine keeps a resting connection, if it says so.
-fn granted_rest(headers: &HeaderMap) -> Option<Duration> {
+/// How long the engine keeps an idle connection, if it states that in `keep-alive`.
+fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
     let value = headers.get("keep-alive")?.to_str().ok()?;
     let seconds = value.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
     seconds.trim().parse().ok().map(Duration::from_secs)
--- a/crates/gateway/src/body.rs
+++ b/crates/gateway/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers.
+//! Response bodies.
 
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
@@ -7,29 +7,30 @@
 use std::task::{Context, Poll};
 use tokio::sync::mpsc;
 
-/// The answer broke off and must not look complete: the connection is closed in its middle.
+/// The response was interrupted and must not look complete: the connection is closed in the middle
+/// of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TruncatedBody;
 
 impl fmt::Display for TruncatedBody {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        formatter.write_str("the answer broke off")
+        formatter.write_str("response body truncated")
     }
 }
 
 impl std::error::Error for TruncatedBody {}
 
-/// The body of an answer to a caller.
+/// Body of a response to a caller.
 #[derive(Debug)]
 pub enum GatewayBody {
-    /// All of it; `None` once it has been taken.
+    /// The complete body; `None` once it has been taken.
     Buffered(Option<Bytes>),
-    /// Piece by piece, until the channel closes.
+    /// Chunks from a channel, until it closes.
     Streamed(mpsc::Receiver<Result<Bytes, TruncatedBody>>),
 }
 
 impl GatewayBody {
-    /// A body that is here whole.
+    /// Creates a body from its complete content.
     pub fn buffered(bytes: impl Into<Bytes>) -> Self {
         Self::Buffered(Some(bytes.into()))
     }
@@ -45,8 +46,8 @@
     ) -> Poll<Option<Result<Frame<Bytes>, TruncatedBody>>> {
         match self.get_mut() {
             Self::Buffered(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
-            Self::Streamed(pieces) => {
-                pieces.poll_recv(context).map(|piece| piece.map(|piece| piece.map(Frame::data)))
+            Self::Streamed(chunks) => {
+                chunks.poll_recv(context).map(|chunk| chunk.map(|chunk| chunk.map(Frame::data)))
             }
         }
     }
--- a/crates/gateway/src/congestion.rs
+++ b/crates/gateway/src/congestion.rs
@@ -1,24 +1,24 @@
-//! Tells when this machine's own link is full.
+//! Detects congestion of this machine's own network link.
 //!
-//! The balancer sends each caller to one router, so one large caller can fill the link of its
-//! router while others stand idle. Packets then wait, which shows first in the time that new
-//! connections to engines take: one round trip, whichever engine it is. A congested router says
-//! that it is not ready, and new connections go to others; what is open is served on.
+//! The balancer sends each caller to one router, so one large caller can saturate the link of its
+//! router while others are idle. Packets then queue, which shows first in the time to establish new
+//! connections to engines: one round trip, whichever engine it is. A congested router reports that
+//! it is not ready, so new connections go to others; open connections are still served.
 
 use std::cell::Cell;
 use std::time::{Duration, Instant};
 
-/// Weight of the newest connection in the mean.
+/// Weight of the latest connection in the moving average.
 const NEWEST_WEIGHT: f64 = 1.0 / 16.0;
-/// Connections before the mean says anything.
-const LEAST_SAMPLES: u32 = 40;
-/// Mean time to connect from which the link is congested.
-const CONGESTED_FROM: Duration = Duration::from_millis(60);
-/// The link counts as congested for so long after the mean was last that high. A router that is not
-/// ready gets few new connections to measure, so time alone has to end this.
+/// Number of connections before the mean is used.
+const MIN_SAMPLES: u32 = 40;
+/// Mean time to connect from which the link counts as congested.
+const CONGESTED_CONNECT_TIME: Duration = Duration::from_millis(60);
+/// Time for which the link counts as congested after the mean was last that high. A router that is
+/// not ready gets few new connections to measure, so the state has to end by time alone.
 const CONGESTED_FOR: Duration = Duration::from_secs(10);
 
-/// Watches the time that new connections take.
+/// Tracks the time that new connections take.
 #[derive(Debug, Default)]
 pub struct Congestion {
     samples: Cell<u32>,
@@ -27,25 +27,25 @@
 }
 
 impl Congestion {
-    /// Notes that a connection has come up after `took`.
+    /// Records that a connection was established after `took`.
     pub fn on_connected(&self, now: Instant, took: Duration) {
         self.samples.set(self.samples.get().saturating_add(1));
-        let kept = self.mean.get().mul_f64(1.0 - NEWEST_WEIGHT);
-        self.mean.set(kept + took.mul_f64(NEWEST_WEIGHT));
-        if self.samples.get() < LEAST_SAMPLES {
+        let previous = self.mean.get().mul_f64(1.0 - NEWEST_WEIGHT);
+        self.mean.set(previous + took.mul_f64(NEWEST_WEIGHT));
+        if self.samples.get() < MIN_SAMPLES {
             return;
         }
-        if self.mean.get() < CONGESTED_FROM {
+        if self.mean.get() < CONGESTED_CONNECT_TIME {
             return;
         }
         if !self.is_congested(now) {
             let mean_ms = self.mean.get().as_millis() as u64;
-            log::info!(mean_connect_ms = mean_ms; "the own link is congested");
+            log::info!(mean_connect_ms = mean_ms; "network link of this machine is congested");
         }
         self.congested_until.set(Some(now + CONGESTED_FOR));
     }
 
-    /// Whether the link is full.
+    /// Whether the link is congested.
     pub fn is_congested(&self, now: Instant) -> bool {
         self.congested_until.get().is_some_and(|until| now < until)
     }
--- a/crates/gateway/src/connection_pool.rs
+++ b/crates/gateway/src/connection_pool.rs
@@ -17,23 +17,25 @@
 use tokio::task::AbortHandle;
 use tokio::time::{sleep, timeout};
 
-/// Longest wait for a connection.
+/// Timeout for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(450);
-/// Sent bytes that nobody acknowledges for so long break the connection.
-const UNACKNOWLEDGED_LIMIT: Duration = Duration::from_millis(1_200);
-/// Silence after which an engine's machine is asked whether it is there.
-const PROBE_AFTER: Duration = Duration::from_millis(1_000);
-/// Longest rest of a connection whose engine does not say how long it keeps it.
-const DEFAULT_REST: Duration = Duration::from_millis(3_000);
-/// Longest wait for the connection that shows whether an engine has ended: many times the way there and back between zones
-/// (2 ms), and short beside the time in which the request is to be tried elsewhere.
+/// Time after which unacknowledged bytes break the connection.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// Idle time before TCP keepalive probes.
+const KEEPALIVE_IDLE_TIME: Duration = Duration::from_millis(1_000);
+/// Idle limit of a connection whose engine does not state one.
+const DEFAULT_IDLE_LIMIT: Duration = Duration::from_millis(3_000);
+/// Timeout for the connection that probes whether an engine is running: many round trips between
+/// zones (2 ms each), and short compared to the time left for retrying the request elsewhere.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(60);
-/// How long that connection must last: some times what a process takes to close its sockets as it ends.
+/// Time for which the probe connection must stay open: a multiple of the time that an exiting
+/// process takes to close its sockets.
 const PROBE_SETTLE: Duration = Duration::from_millis(10);
-/// Part of the rest that an engine grants that is used, so that a request does not cross its close.
-const REST_USED_PERCENT: u32 = 60;
-/// Resting connections kept for one engine.
-const RESTING_PER_ENGINE: usize = 8;
+/// Part of an engine's idle limit that is used, in percent, so that a request does not race with
+/// the engine closing the connection.
+const IDLE_LIMIT_PERCENT: u32 = 60;
+/// Maximum number of idle connections per engine.
+const MAX_IDLE_PER_ENGINE: usize = 8;
 
 /// A connection to one engine that carries one request at a time.
 pub(crate) struct EngineConnection {
@@ -44,96 +46,97 @@
 }
 
 impl EngineConnection {
-    /// Closes the connection at once, whatever it is doing.
+    /// Closes the connection immediately, even during a request.
     pub fn close(self) {
         self.driver.abort();
     }
 }
 
-struct Resting {
+struct IdleConnection {
     connection: EngineConnection,
     since: BootInstant,
     limit: Duration,
 }
 
-/// Resting connections, by engine.
+/// Idle connections, by engine.
 pub(crate) struct ConnectionPool {
     clock: MachineClock,
-    resting: RefCell<HashMap<BackEndName, Vec<Resting>>>,
+    idle: RefCell<HashMap<BackEndName, Vec<IdleConnection>>>,
 }
 
 impl ConnectionPool {
     /// An empty pool.
     pub fn new(clock: MachineClock) -> Self {
-        Self { clock, resting: RefCell::default() }
+        Self { clock, idle: RefCell::default() }
     }
 
-    /// A resting connection, the newest first, or a new one. `fresh` asks for a new one.
+    /// The newest idle connection, or a new one. `fresh` demands a new one.
     pub async fn acquire(
         &self,
         engine: &EngineRecord,
         fresh: bool,
     ) -> io::Result<EngineConnection> {
-        if !fresh && let Some(connection) = self.take_resting(&engine.notice.engine) {
+        if !fresh && let Some(connection) = self.take_idle(&engine.notice.engine) {
             return Ok(connection);
         }
         open(engine.notice.address).await
     }
 
-    /// Whether an engine still takes connections, looked at with a new one, which is kept for the next request. No answer
-    /// in time counts as no.
+    /// Whether an engine still accepts connections, probed with a new one, which is kept for the
+    /// next request. A timeout counts as no.
     pub async fn accepts_connections(&self, engine: &EngineRecord) -> bool {
         let Ok(Ok(connection)) = timeout(PROBE_TIMEOUT, open(engine.notice.address)).await else {
             return false;
         };
-        // What ends closes its listener and its connections one after the other.
+        // An exiting process closes its listener and its connections one after the other.
         sleep(PROBE_SETTLE).await;
-        let lives = !connection.sender.is_closed();
+        let is_alive = !connection.sender.is_closed();
         self.release(&engine.notice.engine, connection, None);
-        lives
+        is_alive
     }
 
-    /// Keeps a connection whose answer has come in whole. `granted` is how long the engine keeps
-    /// it, if it has said so.
+    /// Keeps a connection whose response was received completely. `idle_limit` is the engine's idle
+    /// limit, if it states one.
     pub fn release(
         &self,
         engine: &BackEndName,
         mut connection: EngineConnection,
-        granted: Option<Duration>,
+        idle_limit: Option<Duration>,
     ) {
-        let limit = granted.map_or(DEFAULT_REST, |granted| granted * REST_USED_PERCENT / 100);
-        let mut resting = self.resting.borrow_mut();
-        let of_engine = resting.entry(engine.clone()).or_default();
-        if of_engine.len() >= RESTING_PER_ENGINE || limit.is_zero() {
+        let limit = idle_limit
+            .map_or(DEFAULT_IDLE_LIMIT, |idle_limit| idle_limit * IDLE_LIMIT_PERCENT / 100);
+        let mut idle = self.idle.borrow_mut();
+        let of_engine = idle.entry(engine.clone()).or_default();
+        if of_engine.len() >= MAX_IDLE_PER_ENGINE || limit.is_zero() {
             return connection.close();
         }
         connection.reused = true;
-        of_engine.push(Resting { connection, since: self.clock.now(), limit });
+        of_engine.push(IdleConnection { connection, since: self.clock.now(), limit });
     }
 
-    /// Closes connections that have rested too long or whose engines have left.
+    /// Closes connections that were idle for too long or whose engines have left.
     pub fn evict_idle(&self, directory: &EngineDirectory) {
-        self.resting.borrow_mut().retain(|engine, resting| {
-            let gone =
+        self.idle.borrow_mut().retain(|engine, idle| {
+            let has_left =
                 directory.get(engine).is_none_or(|record| record.notice.state == EngineState::Gone);
-            let kept = std::mem::take(resting);
-            for entry in kept {
-                if gone
+            let entries = std::mem::take(idle);
+            for entry in entries {
+                if has_left
                     || self.clock.since(entry.since) >= entry.limit
                     || entry.connection.sender.is_closed()
                 {
                     entry.connection.close();
                 } else {
-                    resting.push(entry);
+                    idle.push(entry);
                 }
             }
-            !resting.is_empty()
+            !idle.is_empty()
         });
     }
 
-    fn take_resting(&self, engine: &BackEndName) -> Option<EngineConnection> {
-        let mut resting = self.resting.borrow_mut();
-        let of_engine = resting.get_mut(engine)?;
+    fn take_idle(&self, engine: &BackEndName) -> Option<EngineConnection> {
+        let mut idle = self.idle.borrow_mut();
+        let of_engine = idle.get_mut(engine)?;
         while let Some(entry) = of_engine.pop() {
             let usable =
                 self.clock.since(entry.since) < entry.limit && entry.connection.sender.is_ready();
@@ -151,17 +154,17 @@
     let stream = connecting.await.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
     let socket = SockRef::from(&stream);
     let probes = TcpKeepalive::new()
-        .with_time(PROBE_AFTER)
+        .with_time(KEEPALIVE_IDLE_TIME)
         .with_interval(Duration::from_secs(1))
         .with_retries(2);
-    // These only help to notice a silent machine; a socket that refuses them still works.
+    // These only help to detect an unresponsive machine; the connection works without them.
     let _ = socket.set_tcp_nodelay(true);
-    let _ = socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_LIMIT));
+    let _ = socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT));
     let _ = socket.set_tcp_keepalive(&probes);
     let (sender, connection) =
         http1::Builder::new().handshake(TokioIo::new(stream)).await.map_err(io::Error::other)?;
     let driver = tokio::task::spawn_local(async move {
-        // Whoever uses the connection meets the error, too.
+        // The user of the connection receives the error as well.
         let _ = connection.await;
     });
     Ok(EngineConnection { sender, driver: driver.abort_handle(), reused: false })
--- a/crates/gateway/src/crash_detection.rs
+++ b/crates/gateway/src/crash_detection.rs
@@ -1,4 +1,4 @@
-//! What a request shows of the engines that end under it, and whether it is let in.
+//! Detects requests that crash engines, and refuses quarantined ones.
 
 use crate::decision_log::{self, InterruptionPoint};
 use crate::refusal::Refusal;
@@ -7,11 +7,11 @@
 use stackpost_types::{BackEndName, Millis};
 use tokio::task::JoinHandle;
 
-/// The router finds out what the break of a connection shows.
+/// The check whether an engine crashed when a connection to it was interrupted.
 pub(crate) struct PendingCrashCheck(JoinHandle<()>);
 
 impl PendingCrashCheck {
-    /// Waits until that is known and counts.
+    /// Waits until the check is complete and its result recorded.
     pub async fn wait(self) {
         if let Err(error) = self.0.await {
             log::error!(step = "check an engine after a break"; "{error}");
@@ -20,7 +20,7 @@
 }
 
 impl RequestContext {
-    /// What the request asks, the same for every repeat of it.
+    /// Fingerprint of the request's content, the same for every copy of it.
     pub fn fingerprint(&self) -> RequestFingerprint {
         let uri = &self.payload.uri;
         RequestFingerprint::of(&RequestContent {
@@ -32,8 +32,8 @@
         })
     }
 
-    /// A request that has ended engines elsewhere, under another id, would end the next one here. It is
-    /// known not to be servable, so it is refused before it takes up tokens or a place.
+    /// Refuses a quarantined request. A request that has crashed engines elsewhere, under another
+    /// id, would crash the next one here, so it is refused before it takes tokens or a slot.
     pub fn refuse_if_quarantined(&self) -> Result<(), Refusal> {
         let Some(retry_after) = self.quarantine_remaining() else {
             return Ok(());
@@ -42,46 +42,51 @@
         Err(Refusal::CrashesEngines { retry_after })
     }
 
-    /// Whether this request is let in no more.
+    /// Whether this request is quarantined.
     pub fn is_quarantined(&self) -> bool {
         self.quarantine_remaining().is_some()
     }
 
-    /// After how long another try makes sense; `None` if the request is let in.
+    /// Time until another attempt makes sense; `None` if the request is not quarantined.
     fn quarantine_remaining(&self) -> Option<Millis> {
-        let mut memory = self.router.crash_tracker.borrow_mut();
-        if !memory.has_quarantine_candidates() {
+        let mut tracker = self.router.crash_tracker.borrow_mut();
+        if !tracker.has_quarantine_candidates() {
             return None;
         }
-        memory.quarantine_remaining(self.router.now(), &self.fingerprint(), self.router.in_touch())
+        tracker.quarantine_remaining(
+            self.router.now(),
+            &self.fingerprint(),
+            self.router.is_connected_to_leader(),
+        )
     }
 
-    /// An engine broke the answer off, so it may have ended under this request. What is returned is to be waited for
-    /// before the request goes on: a copy that has ended its third engine must not reach a fourth one.
+    /// Handles an interrupted response: the engine may have crashed under this request. The
+    /// returned check must be awaited before the request continues: a copy that has crashed its
+    /// third engine must not reach a fourth one.
     pub fn on_interrupted(&self, engine: &BackEndName, at: InterruptionPoint) -> PendingCrashCheck {
         decision_log::response_interrupted(self, engine, at);
         let sighting = CrashSighting { request: self.fingerprint(), engine: engine.clone() };
         let (router, id) = (self.router.clone(), self.payload.caller.id.clone());
-        // On a task of its own: what an engine's end shows counts though the caller goes away meanwhile.
+        // A separate task: the result counts even if the caller disconnects meanwhile.
         PendingCrashCheck(tokio::task::spawn_local(async move {
-            let lives = router.survived_interruption(&sighting.engine).await;
-            router.metrics.on_liveness_probe(lives);
-            let mut memory = router.crash_tracker.borrow_mut();
-            if lives {
+            let is_alive = router.survived_interruption(&sighting.engine).await;
+            router.metrics.on_liveness_probe(is_alive);
+            let mut tracker = router.crash_tracker.borrow_mut();
+            if is_alive {
                 decision_log::survived_interruption(&id, &sighting.engine);
-                memory.on_unconfirmed_crash(router.now(), sighting);
+                tracker.on_unconfirmed_crash(router.now(), sighting);
             } else {
-                memory.on_engine_crash(router.now(), sighting);
+                tracker.on_engine_crash(router.now(), sighting);
                 router.crash_report_due.notify_one();
             }
         }))
     }
 
-    /// An engine has answered in whole, so the request is not one that ends engines.
+    /// Records a complete response, which shows that the request does not crash engines.
     pub fn on_request_succeeded(&self) {
-        let mut memory = self.router.crash_tracker.borrow_mut();
-        if memory.has_suspects() {
-            memory.on_request_succeeded(self.router.now(), &self.fingerprint());
+        let mut tracker = self.router.crash_tracker.borrow_mut();
+        if tracker.has_suspects() {
+            tracker.on_request_succeeded(self.router.now(), &self.fingerprint());
             self.router.crash_report_due.notify_one();
         }
     }
--- a/crates/gateway/src/deadline.rs
+++ b/crates/gateway/src/deadline.rs
@@ -1,36 +1,36 @@
-//! When the time of a request is over, on both clocks.
+//! The deadline of a request, on two clocks.
 
 use stackpost_clock::{BootInstant, MachineClock};
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The end of a request's time. Timers wait for it on the monotonic clock; what an engine is told, and
-/// whether another attempt makes sense, rests on the clock that goes on while the machine is suspended: the
+/// The deadline of a request. Timers use the monotonic clock. The timeout sent to an engine, and
+/// the decision on another attempt, use the clock that includes suspensions of the machine, as the
 /// caller's does.
 #[derive(Clone, Debug)]
 pub(crate) struct Deadline {
     timer: Instant,
-    over: BootInstant,
+    expires_at: BootInstant,
     clock: MachineClock,
 }
 
 impl Deadline {
-    /// `wait` from now on.
+    /// A deadline `wait` from now.
     pub fn after(wait: Duration, clock: MachineClock) -> Self {
-        Self { timer: Instant::now() + wait, over: clock.now() + wait, clock }
+        Self { timer: Instant::now() + wait, expires_at: clock.now() + wait, clock }
     }
 
-    /// The moment for timers.
+    /// The deadline for timers.
     pub fn timer(&self) -> Instant {
         self.timer
     }
 
-    /// What is left of the time.
+    /// The time left.
     pub fn remaining(&self) -> Duration {
-        self.over.since(self.clock.now())
+        self.expires_at.since(self.clock.now())
     }
 
-    /// Whether the time is over.
+    /// Whether the deadline has passed.
     pub fn is_expired(&self) -> bool {
         self.remaining().is_zero()
     }
--- a/crates/gateway/src/decision_log.rs
+++ b/crates/gateway/src/decision_log.rs
@@ -1,4 +1,4 @@
-//! Log lines that say what a decision about a request rested on.
+//! Log lines with the grounds of decisions about requests.
 
 use crate::attempt::{ActiveAttempt, Payload};
 use crate::header_codec::EngineDirectives;
@@ -10,9 +10,9 @@
 use stackpost_types::{BackEndName, Millis, TenantName, Tokens};
 use std::time::Duration;
 
-/// A request is refused because its tenant's budget does not cover it here and now. `step` is what
-/// refused it: the owner of the zone's account, the end of a budget that is kept for cheap requests, or the own wallet
-/// after the wait for tokens.
+/// A request is refused because its tenant's budget does not cover it at present. `step` is what
+/// refused it: the owner of the zone's account, the withheld last part of a scarce budget, or the
+/// router's own wallet after the wait for tokens.
 pub(crate) fn insufficient_budget(
     router: &Router,
     request: &str,
@@ -36,7 +36,7 @@
         reserve = balance.reserve.0,
         spendable = balance.spendable.0,
         reserved = balance.reserved.0,
-        in_touch = router.in_touch(),
+        in_touch = router.is_connected_to_leader(),
         leader_silent_ms = balance.since_contact.0,
         lasts_ms = lasts_ms,
         scarce = scarce;
@@ -44,14 +44,15 @@
     );
 }
 
-/// An engine turned a request away. Says what it asked for, how it stood when it was chosen and when it had
-/// last turned this router away: whether a wish of it was known, and whether it was kept.
+/// An engine rejected a request. Logs what it asked for, its standing when it was selected and the
+/// time since it last rejected a request of this router: whether an earlier directive was known,
+/// and whether it was respected.
 pub(crate) fn rejected_by_engine(
     router: &Router,
     payload: &Payload,
     attempt: &ActiveAttempt,
     status: StatusCode,
-    wishes: &EngineDirectives,
+    directives: &EngineDirectives,
 ) {
     let picker = router.picker.borrow();
     let before = picker.rejected_at(attempt.name());
@@ -60,7 +61,7 @@
         engine = attempt.name().as_str(),
         step = "answer",
         status = status.as_u16(),
-        rest_ms = wishes.backoff.map(|backoff| backoff.0),
+        rest_ms = directives.backoff.map(|backoff| backoff.0),
         standing = attempt.standing().as_str(),
         requests_there = picker.in_flight(attempt.name()),
         turned_away_before_ms = before.map(|at| router.now().since(at).0);
@@ -68,8 +69,8 @@
     );
 }
 
-/// An engine wants no request for a while. Says what was under way there: a wish while little is tells of other
-/// routers' requests, or of an engine that turns away whatever comes.
+/// An engine asked for a backoff. Logs the requests in flight there: with few of them, the backoff
+/// is caused by other routers' requests, or the engine rejects every request.
 pub(crate) fn backoff_started(
     router: &Router,
     request: &str,
@@ -85,8 +86,8 @@
     );
 }
 
-/// What an engine states of the requests a second that it takes has changed. Says under which request this router heard it; none
-/// if another router told it. `age`: how long before the request was sent whose answer says so.
+/// The rate limit that an engine states has changed. Logs the request whose response stated it;
+/// `None` if another router reported it. `age`: time since that request was sent.
 pub(crate) fn rate_changed(
     router: &Router,
     request: Option<&str>,
@@ -105,7 +106,8 @@
     );
 }
 
-/// A request is refused because every engine that could serve it rests. Names the one whose rest ends first.
+/// A request is refused because every engine that could serve it has asked for a backoff. Logs the
+/// engine whose backoff ends first.
 pub(crate) fn all_engines_backing_off(
     context: &RequestContext,
     engine: &BackEndName,
@@ -121,7 +123,8 @@
     );
 }
 
-/// A request gives way to more urgent ones, or to those of other tenants, while all engines state rates and these are short.
+/// A request is shed in favour of more urgent ones, or of those of other tenants, while all engines
+/// state rate limits below the demand.
 pub(crate) fn shed(context: &RequestContext) {
     let router = &context.router;
     log::info!(
@@ -135,8 +138,8 @@
     );
 }
 
-/// A request is refused because every engine that could serve it states a rate, and all of it is spent. Names the engine
-/// that may be asked first, and its statement.
+/// A request is refused because every engine that could serve it states a rate limit, and all of
+/// them are exhausted. Logs the engine that is available first, and its statement.
 pub(crate) fn rate_limits_exhausted(
     context: &RequestContext,
     engine: &BackEndName,
@@ -148,15 +151,19 @@
         request = context.payload.caller.id.as_str(),
         service = context.service.as_str(),
         engine = engine.as_str(),
-        rate = statement.as_ref().and_then(|news| news.rate).map(|rate| rate.to_string()).as_deref(),
-        rate_age_ms = statement.as_ref().map(|news| news.age.0),
+        rate = statement
+            .as_ref()
+            .and_then(|update| update.rate)
+            .map(|rate| rate.to_string())
+            .as_deref(),
+        rate_age_ms = statement.as_ref().map(|update| update.age.0),
         permit_in_ms = soonest.0,
         limited = router.permits.rate_limited_engines();
         "every engine's rate is spent"
     );
 }
 
-/// How far an answer had come when its engine broke it off.
+/// How far a response had progressed when its engine interrupted it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum InterruptionPoint {
     /// Before its head.
@@ -165,7 +172,7 @@
     FirstEvent,
     /// In the middle of a stream.
     Stream,
-    /// In the middle of another body.
+    /// In the middle of a response that is not a stream.
     Body,
 }
 
@@ -181,8 +188,8 @@
 }
 
 /// The connection ended while an engine may have been running the request. The fingerprint shows
-/// which of these lines are about the same request; the requests that this router had there tell an
-/// engine that ended from a single connection that did.
+/// which of these lines concern the same request; the number of this router's requests there
+/// distinguishes a crashed engine from a single lost connection.
 pub(crate) fn response_interrupted(
     context: &RequestContext,
     engine: &BackEndName,
@@ -199,41 +206,42 @@
     );
 }
 
-/// An engine whose connection broke takes new ones, so the break counts as no end of it.
+/// An engine whose connection was lost accepts new ones, so it has not crashed.
 pub(crate) fn survived_interruption(request: &str, engine: &BackEndName) {
     log::info!(request = request, engine = engine.as_str(); "the engine still takes connections");
 }
 
-/// A request is refused because engines have ended under it, by the fleet's word or this router's own.
+/// A request is refused because engines crashed under it, as reported by the leader or seen by this
+/// router.
 pub(crate) fn quarantined(context: &RequestContext, retry_after: Millis) {
     log::info!(
         request = context.payload.caller.id.as_str(),
         fingerprint = context.fingerprint().to_string().as_str(),
-        in_touch = context.router.in_touch(),
+        in_touch = context.router.is_connected_to_leader(),
         retry_after_ms = retry_after.0;
         "request is quarantined"
     );
 }
 
-/// The first event of a stream has come. Says so only if that was later than wanted: with what had
-/// been expected of the engine when the request was sent there.
+/// Logs the first event of a stream if it was later than the objective, with the estimate made when
+/// the request was sent.
 pub(crate) fn late_first_event(context: &RequestContext, attempt: &ActiveAttempt, took: Duration) {
     let since_arrival = context.arrived.elapsed().as_millis() as u64;
     if since_arrival > context.route.objective.0 {
-        placed(context, attempt, "first event late", since_arrival, took);
+        log_placement(context, attempt, "first event late", since_arrival, took);
     }
 }
 
-/// A stream has paused for longer than wanted.
+/// Logs a pause of a stream that is longer than its gap objective.
 pub(crate) fn long_pause(context: &RequestContext, attempt: &ActiveAttempt, pause: Duration) {
     let since_arrival = context.arrived.elapsed().as_millis() as u64;
-    placed(context, attempt, "long pause", since_arrival, pause);
+    log_placement(context, attempt, "long pause", since_arrival, pause);
 }
 
-fn placed(
+fn log_placement(
     context: &RequestContext,
     attempt: &ActiveAttempt,
-    what: &str,
+    message: &str,
     since_arrival_ms: u64,
     took: Duration,
 ) {
@@ -256,6 +264,6 @@
         harm_held_up = cost.stall,
         harm_to_others = cost.interference,
         harm_read_again = cost.recompute;
-        "{what}"
+        "{message}"
     );
 }
--- a/crates/gateway/src/fleet_link.rs
+++ b/crates/gateway/src/fleet_link.rs
@@ -1,4 +1,4 @@
-//! Keeps a router's knowledge up to date over the connections of the fleet.
+//! Keeps a router's state up to date over the fleet's connections to control and to other routers.
 
 mod engine_updates;
 mod final_usage;
@@ -22,68 +22,68 @@
 use tokio::sync::{Notify, mpsc};
 use tokio::time::{MissedTickBehavior, interval};
 
-/// Time between two reports to the leader.
+/// Interval of reports to the leader.
 const REPORT_INTERVAL: Duration = Duration::from_millis(150);
-/// Time between two signs of life to the other control processes.
-const SIGN_INTERVAL: Duration = Duration::from_millis(450);
-/// All accounts are reported again after so long, whether they have changed or not.
+/// Interval of heartbeats to the other control processes.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(450);
+/// Interval at which all accounts are reported, whether they have changed or not.
 const FULL_REPORT_INTERVAL: Duration = Duration::from_millis(400);
-/// Time between two rounds of forgetting engines that are gone and of taking figures.
-const FORGET_INTERVAL: Duration = Duration::from_secs(2);
+/// Interval at which old entries are evicted and gauges are recorded.
+const EVICTION_INTERVAL: Duration = Duration::from_secs(2);
 
-/// The router's end of the connections to control.
+/// The router's connections to control and to other routers.
 pub struct FleetLink {
     node: NodeId,
     mesh: Mesh<FleetMessage>,
     router: Rc<Router>,
-    /// The control processes that are connected.
+    /// Connected control processes.
     links: RefCell<BTreeMap<LinkId, NodeId>>,
     leader: Cell<Option<LinkId>>,
     leader_contact: Cell<Option<BootTimestamp>>,
     echoes: RefCell<BTreeMap<LinkId, ClockEcho>>,
-    /// How far this router is with what each control process tells it.
+    /// The versions received from each control process.
     versions: RefCell<BTreeMap<LinkId, RouterVersions>>,
     started: BootTimestamp,
     reported: RefCell<BTreeMap<TenantName, AccountReport>>,
     fully_reported_at: Cell<Instant>,
-    sign_at: Cell<Instant>,
-    final_usage_taken: Notify,
-    /// Other routers, to be dialed only when this one needs them.
+    heartbeat_sent_at: Cell<Instant>,
+    final_usage_acknowledged: Notify,
+    /// Other routers, dialed only when this one needs them.
     peers: RefCell<Vec<SocketAddr>>,
-    /// Connections to other routers, and where these accept connections.
+    /// Connections to other routers, with the address at which each accepts connections.
     peer_links: RefCell<BTreeMap<LinkId, SocketAddr>>,
-    /// When this router began to dial others to borrow from them.
+    /// When this router began to dial each lender.
     lenders_dialed: RefCell<BTreeMap<SocketAddr, Instant>>,
     loans: Loans,
     exchange: Rc<LoadExchange>,
-    /// Where this router accepts connections of the fleet.
-    site: RouterEndpoint,
-    /// The routers that each control process hears.
+    /// Zone and address of this router.
+    endpoint: RouterEndpoint,
+    /// The routers that each control process reports.
     router_lists: RefCell<RouterLists<LinkId>>,
-    /// The routers that are there, as taken over last.
+    /// The routers applied last.
     endpoints: RefCell<BTreeSet<RouterEndpoint>>,
-    /// Engines that each control process has not heard of late.
+    /// Engines that each control process reports as silent.
     silent: RefCell<BTreeMap<LinkId, BTreeSet<BackEndName>>>,
-    /// What routers that stopped out of touch have spent, to be passed on to the leader.
+    /// Final usage of routers that stopped while disconnected, to be relayed to the leader.
     relayed_usage: RefCell<BTreeMap<NodeId, RelayedFinalUsage>>,
     stopped: Cell<bool>,
 }
 
 impl FleetLink {
-    /// Starts to look for control processes at `seeds`. Must be called inside a `LocalSet`.
+    /// Starts connecting to control processes at `seeds`. Must be called inside a `LocalSet`.
     pub async fn start(
         own: PeerInfo,
         router: Rc<Router>,
         seeds: &[SocketAddr],
     ) -> Result<Rc<Self>, PeerError> {
         let listen_address = own.listen_address;
-        let site = RouterEndpoint { zone: own.zone.clone(), address: listen_address };
+        let endpoint = RouterEndpoint { zone: own.zone.clone(), address: listen_address };
         let node = own.node.clone();
         let started = machine_time(&router.clock);
         let (mesh, events) = Mesh::new(own);
         mesh.listen(listen_address).await?;
-        let life = Digest::of(&[node.to_string().as_bytes()]).to_u64();
-        let exchange = LoadExchange::start(life, listen_address, router.clone()).await?;
+        let incarnation = Digest::of(&[node.to_string().as_bytes()]).to_u64();
+        let exchange = LoadExchange::start(incarnation, listen_address, router.clone()).await?;
         let link = Rc::new(Self {
             node,
             mesh,
@@ -96,14 +96,14 @@
             started,
             reported: RefCell::default(),
             fully_reported_at: Cell::new(Instant::now()),
-            sign_at: Cell::new(Instant::now()),
-            final_usage_taken: Notify::new(),
+            heartbeat_sent_at: Cell::new(Instant::now()),
+            final_usage_acknowledged: Notify::new(),
             peers: RefCell::default(),
             peer_links: RefCell::default(),
             lenders_dialed: RefCell::default(),
             loans: Loans::default(),
             exchange,
-            site,
+            endpoint,
             router_lists: RefCell::default(),
             endpoints: RefCell::default(),
             silent: RefCell::default(),
@@ -116,7 +116,7 @@
         Ok(link)
     }
 
-    /// Looks for control processes at further addresses.
+    /// Connects to control processes at further addresses.
     pub fn add_seeds(&self, seeds: &[SocketAddr]) {
         seeds.iter().for_each(|seed| self.mesh.dial(*seed));
     }
@@ -124,10 +124,10 @@
     fn on_routers(&self, link: LinkId, zones: &[ZoneRouters]) {
         let routers = zones.iter().flat_map(ZoneRouters::endpoints).collect();
         self.router_lists.borrow_mut().on_router_list(link, routers);
-        self.take_over_routers();
+        self.apply_router_lists();
     }
 
-    fn take_over_routers(&self) {
+    fn apply_router_lists(&self) {
         let now = self.router.now();
         let Some(endpoints) = self.router_lists.borrow_mut().endpoints(now) else {
             return;
@@ -135,12 +135,13 @@
         if *self.endpoints.borrow() == endpoints {
             return;
         }
-        let others: BTreeSet<SocketAddr> = endpoints.iter().map(|site| site.address).collect();
+        let others: BTreeSet<SocketAddr> =
+            endpoints.iter().map(|endpoint| endpoint.address).collect();
         let others: Vec<SocketAddr> =
-            others.into_iter().filter(|other| *other != self.site.address).collect();
+            others.into_iter().filter(|other| *other != self.endpoint.address).collect();
         self.router.permits.set_others(now, &others);
-        self.router.account_owners.borrow_mut().set_endpoints(&self.site, &endpoints);
-        self.forget_lenders(&others);
+        self.router.account_owners.borrow_mut().set_endpoints(&self.endpoint, &endpoints);
+        self.stop_dialing_removed(&others);
         *self.endpoints.borrow_mut() = endpoints;
     }
 
@@ -151,7 +152,7 @@
     ) {
         let mut reports = interval(REPORT_INTERVAL);
         reports.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut forget = interval(FORGET_INTERVAL);
+        let mut eviction = interval(EVICTION_INTERVAL);
         loop {
             tokio::select! {
                 Some(event) = events.recv() => self.on_event(event),
@@ -160,19 +161,23 @@
                 () = self.router.wallet_insufficient.notified() => self.report(),
                 _ = reports.tick() => {
                     self.report();
-                    self.take_over_routers();
+                    self.apply_router_lists();
                     self.send_loan_queries();
                     self.forward_relayed_usage();
                 }
-                _ = forget.tick() => {
-                    self.forget_old();
+                _ = eviction.tick() => {
+                    self.evict_old();
                     self.router.release_unowned_tokens();
                     self.router.revalidate_old_rates();
                     self.router.crash_tracker.borrow_mut().resend_recent(self.router.now());
                     self.report_crashes();
                     let router = &self.router;
                     let engines = router.ready_engine_count();
-                    router.metrics.record_state(router.document_version(), router.in_touch(), engines);
+                    router.metrics.record_state(
+                        router.document_version(),
+                        router.is_connected_to_leader(),
+                        engines,
+                    );
                     router.metrics.record_backing_off(router.picker.borrow().resting(router.now()));
                     router.metrics.record_rate_limited(router.permits.rate_limited_engines());
                     router.metrics.record_quarantined(router.crash_tracker.borrow().quarantined());
@@ -190,7 +195,7 @@
             LinkEvent::Up { link, peer, .. } => {
                 log::info!(peer = peer.node.to_string().as_str(); "control connected");
                 self.links.borrow_mut().insert(link, peer.node);
-                self.send_sign(link);
+                self.send_status(link);
             }
             LinkEvent::Down { link } => {
                 self.peer_links.borrow_mut().remove(&link);
@@ -217,18 +222,18 @@
                     Ok(document) => self.router.set_document(document),
                     Err(error) => log::error!(step = "unpack"; "{error}"),
                 }
-                self.send_sign(link);
+                self.send_status(link);
             }
             FleetMessage::DocumentDelta(delta) => {
                 self.router.apply_delta(&delta);
-                self.send_sign(link);
+                self.send_status(link);
             }
-            FleetMessage::EngineChanges(news) => self.on_engine_changes(link, news),
+            FleetMessage::EngineChanges(delta) => self.on_engine_changes(link, delta),
             FleetMessage::ExpiredEngines(engines) => {
                 let mut directory = self.router.directory.borrow_mut();
                 engines.iter().for_each(|engine| directory.forget(engine));
             }
-            FleetMessage::Departures(news) => self.on_departures(link, &news),
+            FleetMessage::Departures(delta) => self.on_departures(link, &delta),
             FleetMessage::Allotments(allotments) => self.on_allotted(allotments),
             FleetMessage::Recall(keeps) => {
                 let mut wallet = self.router.wallet.borrow_mut();
@@ -236,10 +241,10 @@
                     wallet.return_excess(&tenant, keep);
                 }
                 drop(wallet);
-                // A request elsewhere may wait for it.
+                // A request at another router may wait for these tokens.
                 self.report();
             }
-            FleetMessage::FinalUsageAck => self.final_usage_taken.notify_one(),
+            FleetMessage::FinalUsageAck => self.final_usage_acknowledged.notify_one(),
             FleetMessage::RelayedFinalUsage(router, spent) => {
                 self.on_relayed_usage(link, router, spent)
             }
@@ -312,15 +317,15 @@
         }
     }
 
-    /// Tells the leader what has changed, and everyone else now and then that this router lives.
+    /// Reports changes to the leader, and sends heartbeats to the other processes.
     fn report(&self) {
-        let sign_due = self.sign_at.get().elapsed() >= SIGN_INTERVAL;
+        let heartbeat_due = self.heartbeat_sent_at.get().elapsed() >= HEARTBEAT_INTERVAL;
         let leader = self.leader.get();
-        if sign_due {
-            self.sign_at.set(Instant::now());
+        if heartbeat_due {
+            self.heartbeat_sent_at.set(Instant::now());
             let links: Vec<LinkId> = self.links.borrow().keys().copied().collect();
             links.into_iter().filter(|link| Some(*link) != leader).for_each(|link| {
-                self.send_sign(link);
+                self.send_status(link);
             });
             let peers: Vec<LinkId> = self.peer_links.borrow().keys().copied().collect();
             self.mesh.send_all(peers, &FleetMessage::KeepAlive);
@@ -331,20 +336,21 @@
         let complete = self.fully_reported_at.get().elapsed() >= FULL_REPORT_INTERVAL;
         let complete = complete && self.router.wallet.borrow().has_accounts();
         let accounts = self.changed_accounts(complete);
-        if complete || !accounts.is_empty() || sign_due {
+        if complete || !accounts.is_empty() || heartbeat_due {
             let contact = self.leader_contact.get().filter(|_| complete);
             let status = RouterStatus { accounts, contact, ..self.status(leader) };
             self.mesh.send(leader, &FleetMessage::RouterStatus(status));
         }
     }
 
-    /// Tells the leader under which requests engines have ended. Kept for the next one if there is none; meanwhile other
-    /// routers are told, each of which would have to learn alone.
+    /// Reports to the leader under which requests engines crashed. Without a leader the report is
+    /// kept for the next one; meanwhile it is sent to the other routers, each of which would
+    /// otherwise have to lose engines of its own.
     fn report_crashes(&self) {
-        if !self.router.in_touch() {
+        if !self.router.is_connected_to_leader() {
             let now = self.router.now();
-            let news = self.router.crash_tracker.borrow_mut().take_peer_sightings(now);
-            self.exchange.broadcast_engine_crashes(&news);
+            let sightings = self.router.crash_tracker.borrow_mut().take_peer_sightings(now);
+            self.exchange.broadcast_engine_crashes(&sightings);
         }
         let Some(leader) = self.leader.get() else {
             return;
@@ -373,7 +379,7 @@
         change(self.versions.borrow_mut().entry(link).or_default());
     }
 
-    fn send_sign(&self, link: LinkId) {
+    fn send_status(&self, link: LinkId) {
         self.mesh.send(link, &FleetMessage::RouterStatus(self.status(link)));
     }
 
@@ -381,10 +387,11 @@
         RouterStatus {
             versions: RouterVersions {
                 document: self.router.document_version(),
-                departures: self.router.departures_known(),
+                departures: self.router.departures_revision(),
                 ..self.versions.borrow().get(&link).copied().unwrap_or_default()
             },
-            accepts_unconfirmed: self.router.accepts_unconfirmed() && !self.router.in_touch(),
+            accepts_unconfirmed: self.router.accepts_unconfirmed()
+                && !self.router.is_connected_to_leader(),
             started: self.started,
             echo: self.echoes.borrow().get(&link).copied(),
             contact: None,
@@ -392,7 +399,7 @@
         }
     }
 
-    fn forget_old(&self) {
+    fn evict_old(&self) {
         let mut directory = self.router.directory.borrow_mut();
         directory.forget_old(self.router.now());
         self.router.picker.borrow_mut().forget_unknown(self.router.now(), &directory);
--- a/crates/gateway/src/fleet_link/final_usage.rs
+++ b/crates/gateway/src/fleet_link/final_usage.rs
@@ -1,4 +1,4 @@
-//! The end of a router's life: what it has spent reaches the ledger, if need be by way of others.
+//! Reports a stopping router's final usage to the ledger, relayed by other routers if necessary.
 
 use super::FleetLink;
 use stackpost_coordinator::FleetMessage;
@@ -8,45 +8,46 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Time between two tries to say farewell.
-const FAREWELL_INTERVAL: Duration = Duration::from_millis(150);
-/// Times that a farewell kept for another router is sent to the leader.
-const CUSTODY_DELIVERIES: u32 = 5;
+/// Interval at which the final usage is sent again.
+const RESEND_INTERVAL: Duration = Duration::from_millis(150);
+/// Number of times that the relayed final usage of another router is sent to the leader.
+const MAX_DELIVERIES: u32 = 5;
 
-/// Other routers that a farewell is left with.
-const KEEPERS: usize = 12;
+/// Number of other routers dialed to relay the final usage.
+const MAX_RELAYS: usize = 12;
 
-/// What another router left here when it stopped.
+/// The final usage of another router that stopped.
 pub(super) struct RelayedFinalUsage {
     spent: BTreeMap<TenantName, Tokens>,
     delivered: u32,
 }
 
 impl FleetLink {
-    /// Ends this router's life: all that it holds goes back. Returns once the leader has taken
-    /// that in, or after `limit`.
+    /// Returns all tokens that this router holds and reports its final usage. Returns once the
+    /// leader has acknowledged it, or after `limit`.
     pub async fn report_final_usage(&self, limit: Duration) {
         self.stopped.set(true);
         let used = self.router.wallet.borrow().used();
-        let repeat = async {
+        let resend = async {
             loop {
-                self.send_farewell(&used);
-                if timeout(FAREWELL_INTERVAL, self.final_usage_taken.notified()).await.is_ok() {
+                self.send_final_usage(&used);
+                if timeout(RESEND_INTERVAL, self.final_usage_acknowledged.notified()).await.is_ok()
+                {
                     return;
                 }
             }
         };
-        if timeout(limit, repeat).await.is_err() {
-            log::warn!(step = "farewell"; "no leader has taken the farewell");
+        if timeout(limit, resend).await.is_err() {
+            log::warn!(step = "farewell"; "no leader acknowledged the final usage");
         }
     }
 
-    /// To the leader, or out of touch to other routers, which pass it on.
-    fn send_farewell(&self, used: &BTreeMap<TenantName, Tokens>) {
-        if let Some(leader) = self.leader.get().filter(|_| self.router.in_touch()) {
+    /// Sends to the leader, or while disconnected from it to other routers, which relay it.
+    fn send_final_usage(&self, used: &BTreeMap<TenantName, Tokens>) {
+        if let Some(leader) = self.leader.get().filter(|_| self.router.is_connected_to_leader()) {
             return self.mesh.send(leader, &FleetMessage::FinalUsage(used.clone()));
         }
-        self.dial_keepers();
+        self.dial_relays();
         let links: Vec<LinkId> = self.peer_links.borrow().keys().copied().collect();
         self.mesh.send_all(
             links.clone(),
@@ -59,8 +60,8 @@
         }
     }
 
-    fn dial_keepers(&self) {
-        for peer in self.peers.borrow().iter().take(KEEPERS) {
+    fn dial_relays(&self) {
+        for peer in self.peers.borrow().iter().take(MAX_RELAYS) {
             self.mesh.dial(*peer);
         }
     }
@@ -71,15 +72,17 @@
         router: NodeId,
         spent: BTreeMap<TenantName, Tokens>,
     ) {
-        log::info!(router = router.to_string().as_str(); "farewell kept for another router");
+        log::info!(router = router.to_string().as_str(); "relaying final usage of another router");
         self.relayed_usage.borrow_mut().insert(router, RelayedFinalUsage { spent, delivered: 0 });
         self.mesh.send(link, &FleetMessage::FinalUsageAck);
         self.forward_relayed_usage();
     }
 
-    /// Passes on what other routers have left here, some times, since a message may be lost.
+    /// Relays the final usage of other routers to the leader, several times since a message may be
+    /// lost.
     pub(super) fn forward_relayed_usage(&self) {
-        let Some(leader) = self.leader.get().filter(|_| self.router.in_touch()) else {
+        let Some(leader) = self.leader.get().filter(|_| self.router.is_connected_to_leader())
+        else {
             return;
         };
         self.relayed_usage.borrow_mut().retain(|router, relayed_usage| {
@@ -87,7 +90,7 @@
                 FleetMessage::RelayedFinalUsage(router.clone(), relayed_usage.spent.clone());
             self.mesh.send(leader, &message);
             relayed_usage.delivered += 1;
-            relayed_usage.delivered < CUSTODY_DELIVERIES
+            relayed_usage.delivered < MAX_DELIVERIES
         });
     }
 }
--- a/crates/gateway/src/fleet_link/loan_messages.rs
+++ b/crates/gateway/src/fleet_link/loan_messages.rs
@@ -1,4 +1,5 @@
-//! The messages by which routers lend to one another; [`crate::loans`] decides whom to ask.
+//! Sends and handles the messages of loans between routers; [`crate::loans`] decides which lender
+//! to ask.
 
 use super::FleetLink;
 use crate::loans::{LenderLinks, Loan, LoanCommand, LoanRequest};
@@ -11,8 +12,8 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// Time in which a connection to another router comes up, if it comes up at all.
-const LINK_COMES_UP: Duration = Duration::from_millis(60);
+/// Time within which a connection to another router is established if the router is reachable.
+const CONNECT_TIME: Duration = Duration::from_millis(60);
 
 impl LenderLinks for FleetLink {
     fn link_to(&self, router: SocketAddr) -> Option<LinkId> {
@@ -22,7 +23,7 @@
 
     fn is_connecting(&self, router: SocketAddr) -> bool {
         let dialed_at = self.lenders_dialed.borrow().get(&router).copied();
-        dialed_at.is_some_and(|at| at.elapsed() < LINK_COMES_UP)
+        dialed_at.is_some_and(|at| at.elapsed() < CONNECT_TIME)
     }
 }
 
@@ -38,7 +39,8 @@
         }
     }
 
-    /// Connects to lenders to which there is no connection yet, and looks again when it should be there.
+    /// Dials lenders without a connection, and retries the queries when the connection should be
+    /// established.
     fn dial_lenders(self: &Rc<Self>, request: &LoanRequest) {
         let mut dialed = self.lenders_dialed.borrow_mut();
         let is_new = |lender: &&SocketAddr| {
@@ -52,34 +54,34 @@
         if !new.is_empty() {
             let link = self.clone();
             tokio::task::spawn_local(async move {
-                sleep(LINK_COMES_UP).await;
+                sleep(CONNECT_TIME).await;
                 link.send_loan_queries();
             });
         }
     }
 
-    /// Dials routers that are not there any more no longer.
-    pub(super) fn forget_lenders(&self, others: &[SocketAddr]) {
+    /// Stops dialing routers that have left the fleet.
+    pub(super) fn stop_dialing_removed(&self, others: &[SocketAddr]) {
         self.lenders_dialed.borrow_mut().retain(|lender, _| {
-            let is_there = others.contains(lender);
-            if !is_there {
+            let is_member = others.contains(lender);
+            if !is_member {
                 self.mesh.stop_dialing(*lender);
             }
-            is_there
+            is_member
         });
     }
 
-    /// Sends what requests want to ask, and passes over lenders that have not answered.
+    /// Sends the loan queries of requests, and skips lenders that have not replied.
     pub(super) fn send_loan_queries(&self) {
         let now = self.router.now();
         for lender in self.loans.remove_abandoned(now) {
             log::info!(lender = lender.to_string().as_str(); "no answer from a lender");
             self.router.account_owners.borrow_mut().on_no_answer(now, lender);
         }
-        for question in self.loans.outgoing_queries(now, self) {
-            let (token, tenant, amount) = (question.token, question.tenant, question.amount);
-            let message = FleetMessage::Borrow { token, tenant, amount, wait: question.wait };
-            self.mesh.send(question.to, &message);
+        for query in self.loans.outgoing_queries(now, self) {
+            let (token, tenant, amount) = (query.token, query.tenant, query.amount);
+            let message = FleetMessage::Borrow { token, tenant, amount, wait: query.wait };
+            self.mesh.send(query.to, &message);
         }
     }
 
@@ -96,7 +98,7 @@
         }
     }
 
-    /// Lends, at once or when the leader has handed out more.
+    /// Lends tokens, at once or when the leader has allotted more.
     pub(super) fn lend(
         self: &Rc<Self>,
         borrower: LinkId,
@@ -111,11 +113,11 @@
                 true => BorrowAnswer::AskAnother,
                 false => reservation::lend(&link.router, &tenant, amount, wait).await,
             };
-            link.on_lending_ended(borrower, token, tenant, amount, answer);
+            link.on_lend_result(borrower, token, tenant, amount, answer);
         });
     }
 
-    fn on_lending_ended(
+    fn on_lend_result(
         &self,
         borrower: LinkId,
         token: u64,
@@ -124,8 +126,8 @@
         answer: BorrowAnswer,
     ) {
         if answer == BorrowAnswer::Lent {
-            let can_be_told = self.peer_links.borrow().contains_key(&borrower);
-            if self.stopped.get() || !can_be_told {
+            let is_connected = self.peer_links.borrow().contains_key(&borrower);
+            if self.stopped.get() || !is_connected {
                 self.router.wallet.borrow_mut().settle(&tenant, amount, Tokens::ZERO);
                 return;
             }
@@ -143,7 +145,8 @@
         }
     }
 
-    /// Whoever borrowed over this connection can't say any more what was used.
+    /// Charges loans over a lost connection in full, as their borrowers can't report the usage any
+    /// more.
     pub(super) fn on_peer_down(&self, link: LinkId) {
         for (tenant, amount) in self.loans.on_link_down(link) {
             self.router.wallet.borrow_mut().settle(&tenant, amount, amount);
--- a/crates/gateway/src/header_codec.rs
+++ b/crates/gateway/src/header_codec.rs
@@ -1,107 +1,112 @@
-//! What a platform writes into the headers of requests and answers.
+//! Platform-specific headers of requests and responses.
 
 use hyper::{HeaderMap, StatusCode};
 use stackpost_gateway_core::RateStatement;
 use stackpost_types::{BackEndName, Millis, TenantName, Tokens};
 use thiserror::Error;
 
-/// What a request says of itself.
+/// What the headers of a caller's request state.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CallerRequest {
-    /// Names the attempt of the caller.
+    /// The caller's id of this attempt.
     pub id: String,
-    /// How long the caller waits.
+    /// The caller's timeout.
     pub wait: Option<Millis>,
-    /// The caller's key.
+    /// The caller's API key.
     pub key: Option<String>,
     /// Set for requests to model engines.
     pub generation: Option<Generation>,
-    /// The last event that the caller has of a stream it takes up again.
+    /// The last event that the caller received of a stream that it resumes.
     pub last_event: Option<u64>,
 }
 
-/// What a generation needs.
+/// The size of a generation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Generation {
     /// Tokens of the prompt.
     pub prompt: Tokens,
     /// Tokens of the parts of the prompt that other requests share; at most `prompt`.
     pub shared: Tokens,
-    /// Most tokens to be generated.
+    /// Maximum number of tokens to be generated.
     pub max_generated: Tokens,
     /// Hash of the last part of the prompt that other requests share.
     pub subject: Option<u64>,
 }
 
 impl Generation {
-    /// The most that the request can cost.
+    /// The maximum cost of the request.
     pub fn max_cost(&self) -> Tokens {
         self.prompt + self.max_generated
     }
 }
 
-/// A request whose headers can't be understood.
+/// A request with a malformed header.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("header `{header}` can't be read")]
+#[error("header `{header}` is malformed")]
 pub struct MalformedHeader {
-    /// The header.
+    /// Name of the header.
     pub header: &'static str,
 }
 
-/// What the router tells an engine beside the caller's own headers.
+/// What the router sends to an engine in addition to the caller's own headers.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineRequestHeaders<'a> {
-    /// The engine that is meant; any other must turn the request away.
+    /// The intended engine; any other must reject the request.
     pub engine: &'a BackEndName,
     /// The caller's tenant, if known.
     pub tenant: Option<&'a TenantName>,
-    /// How long the engine may work.
+    /// Time within which the engine must respond.
     pub wait: Millis,
-    /// Urgency; 0 is the highest.
+    /// Priority; 0 is the highest.
     pub priority: u32,
-    /// The event after which a stream is to go on.
+    /// The event after which a stream is to be resumed.
     pub last_event: Option<u64>,
-    /// Whether callers' keys must not be shown.
+    /// Whether callers' keys must be removed.
     pub strip_key: bool,
 }
 
-/// What an answer's head says.
+/// What the head of a response shows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseClass {
     /// The engine did not run the request and never will.
     NotRun,
-    /// The engine that was meant is not there any more; the request did not run.
+    /// The intended engine is not at this address any more; the request did not run.
     WrongEngine,
-    /// The answer belongs to another request.
+    /// The response belongs to another request.
     OtherRequest,
-    /// The engine's answer to this request.
+    /// The engine's response to this request.
     Verified,
-    /// Nothing shows that an engine made this answer.
+    /// Nothing shows that an engine made this response.
     Unsigned,
 }
 
-/// What an engine asks of this router in the head of an answer, whatever becomes of the request.
+/// What an engine asks of this router in the head of a response, whatever the result of the
+/// request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EngineDirectives {
-    /// It wants no request for so long.
+    /// Time for which it asks to receive no requests.
     pub backoff: Option<Millis>,
-    /// It leaves: it wants no new request at all.
+    /// It leaves and accepts no new requests.
     pub leaving: bool,
-    /// The requests a second that it takes from all routers together.
+    /// The rate limit that it states, in requests per second from all routers together.
     pub rate: RateStatement,
-    /// Headers whose value is none that the platform knows; they ask for nothing.
+    /// Headers with a malformed value; they are ignored.
     pub malformed: Vec<&'static str>,
 }
 
-/// Reads and writes headers the way a platform has fixed it.
+/// Reads and writes the headers of a platform.
 pub trait HeaderCodec {
-    /// Called once for each request, before anything is decided about it.
+    /// Called once for each request, before any decision about it.
     fn read_request(&self, headers: &HeaderMap) -> Result<CallerRequest, MalformedHeader>;
 
     /// Called for each attempt, with the caller's headers, before they are sent to an engine.
-    fn write_engine_headers(&self, headers: &mut HeaderMap, addressing: &EngineRequestHeaders<'_>);
+    fn write_engine_headers(
+        &self,
+        headers: &mut HeaderMap,
+        engine_headers: &EngineRequestHeaders<'_>,
+    );
 
-    /// Called when the head of an engine's answer is in.
+    /// Called when the head of an engine's response was received.
     fn classify_response(
         &self,
         request: &CallerRequest,
@@ -109,8 +114,8 @@
         headers: &HeaderMap,
     ) -> ResponseClass;
 
-    /// Called after [`Self::classify_response`], with the same head. Asks for nothing unless the head says
-    /// that the engine made it for this request.
+    /// Called after [`Self::classify_response`], with the same head. Returns no directives unless
+    /// the head shows that the engine made it for this request.
     fn read_directives(
         &self,
         request: &CallerRequest,
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,9 +1,10 @@
-//! The router process of a gateway fleet: callers' requests in, engines' answers out.
+//! The router process of a gateway fleet: receives callers' requests and relays engines' responses.
 //!
-//! A request's way: [`serve_callers`] accepts the connection, `request` admits it and sets its
-//! tokens aside, `attempt` sends it to an engine over a connection of `connection_pool`, and `relay`
-//! passes a stream on, at another engine if the first one breaks off. `fleet_link` keeps the
-//! router's knowledge up to date, `load_exchange` tells other routers what is sent to engines. What is written in which header is the affair of a [`HeaderCodec`].
+//! [`serve_callers`] accepts the connection, `request` admits the request and reserves its tokens,
+//! `attempt` sends it to an engine over a connection of `connection_pool`, and `relay` forwards a
+//! stream, resuming it at another engine if the first one interrupts it. `fleet_link` keeps the
+//! router's state up to date, and `load_exchange` sends this router's load on the engines to the
+//! other routers. A [`HeaderCodec`] defines which header carries what.
 
 mod attempt;
 mod body;
--- a/crates/gateway/src/liveness_probe.rs
+++ b/crates/gateway/src/liveness_probe.rs
@@ -1,8 +1,9 @@
-//! Tells an engine that has ended from a connection that broke.
+//! Distinguishes a crashed engine from a lost connection.
 //!
-//! Both look the same at the request. An engine whose process has ended takes no connection any more, one whose
-//! connection was lost does. Without the difference one copy of a request whose connection breaks in three of ten
-//! runs made its router refuse all others for two seconds: 12 of 150 of them with three routers (soak, one run in ten).
+//! Both look the same to the request. An engine whose process has ended accepts no connections any
+//! more; one that lost a single connection does. Without the distinction, a copy of a request whose
+//! connections break in three of ten runs made its router refuse all other copies for two seconds:
+//! 12 of 150 copies with three routers.
 
 use crate::router::Router;
 use futures::FutureExt;
@@ -13,20 +14,22 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-type Check = Shared<LocalBoxFuture<'static, bool>>;
+type Probe = Shared<LocalBoxFuture<'static, bool>>;
 
-/// Checks under way, one an engine: when an engine ends, all that ran there breaks off at one moment.
+/// Running probes, one per engine: when an engine crashes, all its requests are interrupted at the
+/// same moment.
 #[derive(Default)]
 pub(crate) struct LivenessProbes {
-    under_way: RefCell<HashMap<BackEndName, Check>>,
+    running: RefCell<HashMap<BackEndName, Probe>>,
 }
 
 impl Router {
-    /// Whether an engine lives on whose connection has just broken. One that is not known any more does not.
+    /// Whether an engine is still running after one of its connections was interrupted. An unknown
+    /// engine is not.
     pub(crate) async fn survived_interruption(self: &Rc<Self>, engine: &BackEndName) -> bool {
-        let under_way = self.liveness_probes.under_way.borrow().get(engine).cloned();
-        let check = under_way.unwrap_or_else(|| self.begin_check(engine));
-        check.await
+        let running = self.liveness_probes.running.borrow().get(engine).cloned();
+        let probe = running.unwrap_or_else(|| self.start_probe(engine));
+        probe.await
     }
 
     fn accepts_requests(&self, engine: &BackEndName) -> bool {
@@ -34,23 +37,23 @@
         directory.get(engine).is_some_and(|record| record.notice.state != EngineState::Gone)
     }
 
-    fn begin_check(self: &Rc<Self>, engine: &BackEndName) -> Check {
+    fn start_probe(self: &Rc<Self>, engine: &BackEndName) -> Probe {
         let (router, name) = (self.clone(), engine.clone());
-        let checking = async move {
+        let probing = async move {
             let record = router.directory.borrow().get(&name).cloned();
-            let answers = match record {
+            let accepts = match record {
                 Some(record) => router.pool.accepts_connections(&record).await,
                 None => false,
             };
-            // Its next life may be the one that answers.
-            let lives = answers && router.accepts_requests(&name);
-            router.liveness_probes.under_way.borrow_mut().remove(&name);
-            lives
+            // Its next incarnation may have accepted the connection.
+            let is_alive = accepts && router.accepts_requests(&name);
+            router.liveness_probes.running.borrow_mut().remove(&name);
+            is_alive
         };
-        let check = checking.boxed_local().shared();
-        self.liveness_probes.under_way.borrow_mut().insert(engine.clone(), check.clone());
-        // It ends even if every request that waits for it is given up.
-        tokio::task::spawn_local(check.clone());
-        check
+        let probe = probing.boxed_local().shared();
+        self.liveness_probes.running.borrow_mut().insert(engine.clone(), probe.clone());
+        // The probe completes even if every request that waits for it is cancelled.
+        tokio::task::spawn_local(probe.clone());
+        probe
     }
 }
--- a/crates/gateway/src/load_exchange.rs
+++ b/crates/gateway/src/load_exchange.rs
@@ -1,9 +1,9 @@
-//! Routers tell each other what they send to engines.
+//! Load updates between routers.
 //!
-//! Each router sees only its own requests, a small part of what an engine has to do. So every
-//! router tells the others, by datagrams: at once when it has sent much to be read, else now and
-//! then. A datagram says what is new to be read and how much runs; one that is lost makes the
-//! picture of the others a little older and nothing else. Nobody waits for an answer.
+//! Each router sees only its own requests, a small part of an engine's load. So every router sends
+//! its load to the others, by datagrams: at once after sending many prompt tokens, else
+//! periodically. A datagram states the new prompt tokens and the running requests; if it is lost,
+//! the other routers' view is a little older and nothing else. No reply is expected.
 
 use crate::peer_socket::{PeerDatagram, PeerSocket};
 use crate::router::Router;
@@ -16,80 +16,83 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// Time between two words while nothing has to be told at once, for few routers.
-const TELL_INTERVAL: Duration = Duration::from_millis(250);
-/// Routers from which on they tell each other less, so that what one of them sends and receives does
-/// not grow with their number: 70 routers that all told of 3,000 tokens at once spent more than
-/// their links and processors had.
+/// Interval of periodic updates with few routers.
+const UPDATE_INTERVAL: Duration = Duration::from_millis(250);
+/// Number of routers from which updates become less frequent, so that the traffic of one router
+/// does not grow with their number: 70 routers that each sent 3,000 tokens at once exceeded the
+/// capacity of their links and processors.
 const FEW_ROUTERS: u64 = 12;
-/// Most by which the interval grows: what is said counts for a little over twice as long.
-const MOST_INTERVALS: u64 = 6;
-/// Other routers are told at once of so many tokens to be read at one engine, if they are few: less
-/// is read before anyone else could send something there because of it.
-const TOLD_AT_ONCE: Tokens = Tokens(3_000);
-/// Pause after each word, in which what follows is gathered.
-const GATHER_TIME: Duration = Duration::from_millis(8);
-/// Engines in one datagram, so that it fits one packet.
+/// Largest factor by which the interval grows: an update stays valid for a little over twice that
+/// time.
+const MAX_INTERVAL_FACTOR: u64 = 6;
+/// Prompt tokens at one engine from which an update is sent at once, with few routers: fewer are
+/// prefilled before another router could send a request there because of them.
+const URGENT_UPDATE_TOKENS: Tokens = Tokens(3_000);
+/// Pause after each update, in which further changes are batched.
+const BATCH_TIME: Duration = Duration::from_millis(8);
+/// Maximum number of engines in one datagram, so that it fits one packet.
 const ENGINES_PER_DATAGRAM: usize = 24;
 
-/// What one router tells the others.
+/// An update of the load that one router puts on engines.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct LoadUpdate {
-    /// Names the sender's life.
+    /// Identifies the sender's incarnation.
     router: u64,
     engines: Vec<(BackEndName, EngineLoadUpdate)>,
 }
 
-/// One router's part in the exchange.
+/// Sends and receives load updates for one router.
 pub struct LoadExchange {
-    own: u64,
+    incarnation: u64,
     router: Rc<Router>,
     socket: Rc<PeerSocket>,
     peers: RefCell<Vec<SocketAddr>>,
 }
 
 impl LoadExchange {
-    /// Listens for other routers at `address` and tells them from now on. `own` names this life of
+    /// Receives updates at `address` and starts to send them. `incarnation` identifies this run of
     /// the router. Must be called inside a `LocalSet`.
     pub async fn start(
-        own: u64,
+        incarnation: u64,
         address: SocketAddr,
         router: Rc<Router>,
     ) -> Result<Rc<Self>, PeerError> {
         let socket = Rc::new(PeerSocket::bind(address).await?);
-        router.permits.open(own, address, socket.clone());
-        let exchange = Rc::new(Self { own, router, socket, peers: RefCell::default() });
+        router.permits.open(incarnation, address, socket.clone());
+        let exchange = Rc::new(Self { incarnation, router, socket, peers: RefCell::default() });
         tokio::task::spawn_local(exchange.clone().listen());
-        tokio::task::spawn_local(exchange.clone().tell());
+        tokio::task::spawn_local(exchange.clone().send_updates());
         Ok(exchange)
     }
 
-    /// Takes over who is to be told.
+    /// Sets the routers that receive updates.
     pub fn set_peers(&self, peers: &[SocketAddr]) {
         *self.peers.borrow_mut() = peers.to_vec();
-        self.router.urgent_update_tokens.set(Tokens(TOLD_AT_ONCE.0 * self.crowd()));
+        self.router
+            .urgent_update_tokens
+            .set(Tokens(URGENT_UPDATE_TOKENS.0 * self.interval_factor()));
     }
 
-    /// Tells other routers of engines that ended under requests.
-    pub(crate) fn broadcast_engine_crashes(&self, seen: &[(CrashSighting, Millis)]) {
-        for some in seen.chunks(ENGINES_PER_DATAGRAM) {
-            let datagram = PeerDatagram::EngineCrashes(some.to_vec());
+    /// Sends crash sightings to the other routers.
+    pub(crate) fn broadcast_engine_crashes(&self, sightings: &[(CrashSighting, Millis)]) {
+        for chunk in sightings.chunks(ENGINES_PER_DATAGRAM) {
+            let datagram = PeerDatagram::EngineCrashes(chunk.to_vec());
             self.peers.borrow().iter().for_each(|peer| self.socket.send(*peer, &datagram));
         }
     }
 
-    /// One for few routers, and more the more there are.
-    fn crowd(&self) -> u64 {
+    /// Factor by which updates become less frequent: 1 for few routers, growing with their number.
+    fn interval_factor(&self) -> u64 {
         (self.peers.borrow().len() as u64).div_ceil(FEW_ROUTERS).max(1)
     }
 
     async fn listen(self: Rc<Self>) {
         loop {
             match self.socket.receive(&self.router.metrics).await {
-                (PeerDatagram::Load(news), _) => self.take_in(news),
-                (PeerDatagram::EngineCrashes(seen), _) => {
+                (PeerDatagram::Load(update), _) => self.on_update(update),
+                (PeerDatagram::EngineCrashes(sightings), _) => {
                     let now = self.router.now();
-                    self.router.crash_tracker.borrow_mut().on_peer_sightings(now, seen);
+                    self.router.crash_tracker.borrow_mut().on_peer_sightings(now, sightings);
                 }
                 (PeerDatagram::Permit(message), from) => {
                     self.router.on_permit_message(from, message);
@@ -98,40 +101,40 @@
         }
     }
 
-    fn take_in(&self, news: LoadUpdate) {
+    fn on_update(&self, update: LoadUpdate) {
         let now = self.router.now();
         let mut picker = self.router.picker.borrow_mut();
-        for (engine, of_engine) in news.engines {
-            picker.on_peer_update(now, news.router, engine, &of_engine);
+        for (engine, engine_update) in update.engines {
+            picker.on_peer_update(now, update.router, engine, &engine_update);
         }
     }
 
-    async fn tell(self: Rc<Self>) {
-        let mut told_all_at = Instant::now();
+    async fn send_updates(self: Rc<Self>) {
+        let mut last_broadcast_at = Instant::now();
         loop {
             let urgent = tokio::select! {
                 () = self.router.load_changed.notified() => true,
-                () = sleep_until(told_all_at + self.interval()) => false,
+                () = sleep_until(last_broadcast_at + self.interval()) => false,
             };
             if !urgent {
-                told_all_at = Instant::now();
+                last_broadcast_at = Instant::now();
                 self.router.publish_rates();
             }
-            self.tell_all(urgent);
-            sleep(GATHER_TIME).await;
+            self.broadcast_updates(urgent);
+            sleep(BATCH_TIME).await;
         }
     }
 
     fn interval(&self) -> Duration {
-        TELL_INTERVAL * self.crowd().min(MOST_INTERVALS) as u32
+        UPDATE_INTERVAL * self.interval_factor().min(MAX_INTERVAL_FACTOR) as u32
     }
 
-    fn tell_all(&self, urgent: bool) {
-        let news = self.router.picker.borrow_mut().take_updates(urgent);
+    fn broadcast_updates(&self, urgent: bool) {
+        let updates = self.router.picker.borrow_mut().take_updates(urgent);
         let peers = self.peers.borrow().clone();
-        for engines in news.chunks(ENGINES_PER_DATAGRAM) {
-            let news = LoadUpdate { router: self.own, engines: engines.to_vec() };
-            let datagram = PeerDatagram::Load(news);
+        for engines in updates.chunks(ENGINES_PER_DATAGRAM) {
+            let update = LoadUpdate { router: self.incarnation, engines: engines.to_vec() };
+            let datagram = PeerDatagram::Load(update);
             for peer in &peers {
                 self.socket.send(*peer, &datagram);
             }
--- a/crates/gateway/src/loans.rs
+++ b/crates/gateway/src/loans.rs
@@ -1,9 +1,10 @@
 //! Tokens reserved at another router.
 //!
-//! A router that does not keep its zone's account of a tenant asks those that do, one after the other, to reserve
-//! tokens in their wallets. Out of touch it asks owners in other zones as well. The lender counts the tokens as its own
-//! use at once, so every bound on what the lender can have spent holds unchanged, and the ledger need not know. What
-//! was really used is told afterwards; if that word is lost, the lender keeps the most.
+//! A router that does not own its zone's account of a tenant asks the owners, one after the other,
+//! to reserve tokens in their wallets. While disconnected from the leader it asks owners in other
+//! zones as well. The lender counts the tokens as its own usage at once, so every bound on what the
+//! lender can have spent holds unchanged, and the ledger need not record the loan. The actual usage
+//! is sent afterwards; if that message is lost, the lender keeps the full amount as used.
 
 use stackpost_coordinator::BorrowAnswer;
 use stackpost_mesh::LinkId;
@@ -13,57 +14,57 @@
 use std::net::SocketAddr;
 use tokio::sync::{mpsc, oneshot};
 
-/// A router that has lent nothing is not asked for as much or more again for so long.
-const REFUSAL_KEPT: Millis = Millis(100);
-/// A lender that has said nothing for so long when the request gives up does not answer; less may be the request's own
-/// haste.
-const NO_ANSWER_AFTER: Millis = Millis(60);
+/// Time for which a router that lent nothing is not asked again for as much or more.
+const REFUSAL_TTL: Millis = Millis(100);
+/// Silence of a lender, at the time at which the request gives up, from which it counts as
+/// unresponsive. After a shorter silence the request may just have had too little time.
+const LENDER_TIMEOUT: Millis = Millis(60);
 
 /// A reservation at another router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Loan {
     /// The connection to the lender.
     pub lender: LinkId,
-    /// Names the loan between the two.
+    /// Identifies the loan on this connection.
     pub token: u64,
 }
 
-/// What a request's wish came to.
+/// The outcome of a loan request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoanOutcome {
     /// The tokens are reserved.
     Lent(Loan),
-    /// The lender could not cover the request, and the leader has handed it nothing for it.
+    /// The lender could not cover the request, and the leader has allotted it nothing more for it.
     NotCovered,
-    /// No lender could be asked, or none that could has anything.
+    /// No lender was reachable, or none had any tokens.
     NoLender,
 }
 
-/// A request's wish.
+/// A request for a loan.
 #[derive(Debug)]
 pub struct LoanRequest {
     /// The tenant.
     pub tenant: TenantName,
-    /// How many tokens.
+    /// Number of tokens.
     pub amount: Tokens,
-    /// Whom to ask, in this order.
+    /// Routers to ask, in this order.
     pub lenders: Vec<SocketAddr>,
-    /// Until when it waits.
+    /// When the request stops waiting.
     pub until: Timestamp,
-    /// Where the outcome goes.
+    /// Receives the outcome.
     pub reply: oneshot::Sender<LoanOutcome>,
 }
 
-/// What requests want of other routers.
+/// A command of a request to the loans of this router.
 #[derive(Debug)]
 pub enum LoanCommand {
-    /// Reserve tokens somewhere.
+    /// Reserve tokens at another router.
     Ask(LoanRequest),
-    /// The request has ended.
+    /// Settle a loan at the end of its request.
     Settle {
-        /// Its loan.
+        /// The loan.
         loan: Loan,
-        /// What it used.
+        /// Tokens that the request used.
         used: Tokens,
     },
 }
@@ -72,19 +73,19 @@
 pub trait LenderLinks {
     /// The connection to a router, if there is one.
     fn link_to(&self, router: SocketAddr) -> Option<LinkId>;
-    /// Whether a connection to a router is expected within moments.
+    /// Whether a connection to a router is being established.
     fn is_connecting(&self, router: SocketAddr) -> bool;
 }
 
-/// A question that has not been answered.
+/// A query without a reply yet.
 struct Outstanding {
     lender: SocketAddr,
     link: LinkId,
-    asked_at: Timestamp,
+    sent_at: Timestamp,
 }
 
 /// A request that waits for a loan.
-struct PendingAsk {
+struct PendingLoan {
     tenant: TenantName,
     amount: Tokens,
     lenders: VecDeque<SocketAddr>,
@@ -93,50 +94,57 @@
     outstanding: Option<Outstanding>,
 }
 
-/// A question to be sent to another router.
+/// A loan query to be sent to another router.
 #[derive(Debug, PartialEq, Eq)]
 pub struct LoanQuery {
     /// The connection to the other router.
     pub to: LinkId,
-    /// Names the loan.
+    /// Identifies the loan.
     pub token: u64,
     /// The tenant.
     pub tenant: TenantName,
-    /// How many tokens.
+    /// Number of tokens.
     pub amount: Tokens,
-    /// How long the answer may take.
+    /// How long the lender may take to reply.
     pub wait: Millis,
 }
 
-/// What a router would not lend.
+/// A loan that a router refused.
 struct RefusedLoan {
     amount: Tokens,
     at: Timestamp,
 }
 
-/// Both sides of the loans of one router.
+/// The loans of one router, both as borrower and as lender.
 #[derive(Default)]
 pub struct Loans {
-    /// The newest refusal of each router for each tenant.
+    /// The latest refusal of each router for each tenant.
     refused: RefCell<BTreeMap<(LinkId, TenantName), RefusedLoan>>,
-    pending: RefCell<BTreeMap<u64, PendingAsk>>,
+    pending: RefCell<BTreeMap<u64, PendingLoan>>,
     next_token: RefCell<u64>,
-    /// Lent to others and not settled.
+    /// Lent to other routers and not settled.
     lent: RefCell<BTreeMap<(LinkId, u64), (TenantName, Tokens)>>,
 }
 
 impl Loans {
-    /// Takes in a request's wish; questions follow from [`Self::outgoing_queries`].
+    /// Registers a loan request; [`Self::outgoing_queries`] returns the resulting queries.
     pub fn ask(&self, request: LoanRequest) {
         let mut token = self.next_token.borrow_mut();
         *token += 1;
         let LoanRequest { tenant, amount, lenders, until, reply } = request;
-        let ask =
-            PendingAsk { tenant, amount, lenders: lenders.into(), until, reply, outstanding: None };
+        let ask = PendingLoan {
+            tenant,
+            amount,
+            lenders: lenders.into(),
+            until,
+            reply,
+            outstanding: None,
+        };
         self.pending.borrow_mut().insert(*token, ask);
     }
 
-    /// The questions to send now. A request whose lenders have all been asked or can't be is told so.
+    /// The queries to send now. A request whose lenders have all been asked or can't be reached
+    /// gets [`LoanOutcome::NoLender`].
     pub fn outgoing_queries(&self, now: Timestamp, links: &impl LenderLinks) -> Vec<LoanQuery> {
         let mut outgoing_queries = Vec::new();
         let mut ended = Vec::new();
@@ -144,7 +152,7 @@
         for (token, ask) in pending.iter_mut().filter(|(_, ask)| ask.outstanding.is_none()) {
             match self.next_lender(now, ask, links) {
                 NextLender::Ask(lender, link) => {
-                    ask.outstanding = Some(Outstanding { lender, link, asked_at: now });
+                    ask.outstanding = Some(Outstanding { lender, link, sent_at: now });
                     let (tenant, amount) = (ask.tenant.clone(), ask.amount);
                     let wait = ask.until.since(now);
                     outgoing_queries.push(LoanQuery {
@@ -160,7 +168,7 @@
             }
         }
         for ask in ended.into_iter().filter_map(|token| pending.remove(&token)) {
-            // The request may have given up meanwhile.
+            // The request may have given up.
             let _ = ask.reply.send(LoanOutcome::NoLender);
         }
         outgoing_queries
@@ -169,7 +177,7 @@
     fn next_lender(
         &self,
         now: Timestamp,
-        ask: &mut PendingAsk,
+        ask: &mut PendingLoan,
         links: &impl LenderLinks,
     ) -> NextLender {
         while let Some(lender) = ask.lenders.front().copied() {
@@ -187,27 +195,27 @@
         NextLender::None
     }
 
-    fn has_refused(&self, now: Timestamp, link: LinkId, ask: &PendingAsk) -> bool {
+    fn has_refused(&self, now: Timestamp, link: LinkId, ask: &PendingLoan) -> bool {
         let refused = self.refused.borrow();
         refused.get(&(link, ask.tenant.clone())).is_some_and(|refusal| {
-            refusal.amount <= ask.amount && now.since(refusal.at) < REFUSAL_KEPT
+            refusal.amount <= ask.amount && now.since(refusal.at) < REFUSAL_TTL
         })
     }
 
-    /// Forgets requests that have given up. Returns the lenders that have not answered them.
+    /// Removes requests that have given up. Returns the lenders that have not replied to them.
     pub fn remove_abandoned(&self, now: Timestamp) -> Vec<SocketAddr> {
-        let mut without_answer = Vec::new();
+        let mut unresponsive = Vec::new();
         self.pending.borrow_mut().retain(|_, ask| {
             let has_ended = ask.reply.is_closed();
             let outstanding = ask.outstanding.as_ref().filter(|_| has_ended);
-            let silent = outstanding.filter(|asked| now.since(asked.asked_at) >= NO_ANSWER_AFTER);
-            without_answer.extend(silent.map(|asked| asked.lender));
+            let silent = outstanding.filter(|query| now.since(query.sent_at) >= LENDER_TIMEOUT);
+            unresponsive.extend(silent.map(|query| query.lender));
             !has_ended
         });
-        without_answer
+        unresponsive
     }
 
-    /// Takes in an answer. Returns the loan if nobody wants it any more.
+    /// Handles a reply. Returns the loan if its request no longer waits.
     pub fn on_reply(
         &self,
         now: Timestamp,
@@ -219,10 +227,10 @@
         match answer {
             BorrowAnswer::Lent => match self.end(token, LoanOutcome::Lent(loan)) {
                 Ok(()) => None,
-                Err(NobodyWaits) => Some(loan),
+                Err(NotWaiting) => Some(loan),
             },
             BorrowAnswer::NotCovered => {
-                // Nothing was set aside, so nothing is to be undone if nobody waits.
+                // Nothing was reserved, so nothing is to be undone if the request no longer waits.
                 let _ = self.end(token, LoanOutcome::NotCovered);
                 None
             }
@@ -237,22 +245,23 @@
         }
     }
 
-    fn end(&self, token: u64, outcome: LoanOutcome) -> Result<(), NobodyWaits> {
-        let ask = self.pending.borrow_mut().remove(&token).ok_or(NobodyWaits)?;
-        ask.reply.send(outcome).map_err(|_| NobodyWaits)
+    fn end(&self, token: u64, outcome: LoanOutcome) -> Result<(), NotWaiting> {
+        let ask = self.pending.borrow_mut().remove(&token).ok_or(NotWaiting)?;
+        ask.reply.send(outcome).map_err(|_| NotWaiting)
     }
 
-    /// Notes what was lent.
+    /// Records a loan that was granted.
     pub fn on_lent(&self, borrower: LinkId, token: u64, tenant: TenantName, amount: Tokens) {
         self.lent.borrow_mut().insert((borrower, token), (tenant, amount));
     }
 
-    /// A loan that was given is settled: the tenant and what had been reserved.
+    /// Removes a loan that its borrower settles. Returns the tenant and the amount that was
+    /// reserved.
     pub fn on_settled(&self, borrower: LinkId, token: u64) -> Option<(TenantName, Tokens)> {
         self.lent.borrow_mut().remove(&(borrower, token))
     }
 
-    /// A connection is gone. Returns what was lent over it and will never be settled.
+    /// Handles a lost connection. Returns the loans granted over it, which will never be settled.
     pub fn on_link_down(&self, link: LinkId) -> Vec<(TenantName, Tokens)> {
         for ask in self.pending.borrow_mut().values_mut() {
             if ask.outstanding.as_ref().is_some_and(|outstanding| outstanding.link == link) {
@@ -261,35 +270,35 @@
         }
         self.refused.borrow_mut().retain(|(peer, _), _| *peer != link);
         let mut lent = self.lent.borrow_mut();
-        let gone: Vec<(LinkId, u64)> =
+        let lent_over_link: Vec<(LinkId, u64)> =
             lent.keys().filter(|(borrower, _)| *borrower == link).copied().collect();
-        gone.iter().filter_map(|key| lent.remove(key)).collect()
+        lent_over_link.iter().filter_map(|key| lent.remove(key)).collect()
     }
 
-    /// Whether a request waits.
+    /// Whether any request waits.
     pub fn has_pending(&self) -> bool {
         !self.pending.borrow().is_empty()
     }
 }
 
 /// The request has given up.
-struct NobodyWaits;
+struct NotWaiting;
 
-/// What a request that waits does next.
+/// The next step of a waiting request.
 enum NextLender {
     Ask(SocketAddr, LinkId),
     Wait,
     None,
 }
 
-/// The way from requests to the loans.
+/// Passes commands of requests to [`Loans`].
 #[derive(Default)]
 pub struct LoanHandle {
     commands: RefCell<Option<mpsc::UnboundedSender<LoanCommand>>>,
 }
 
 impl LoanHandle {
-    /// Connects the requests with whoever carries out their commands.
+    /// Opens the channel. The receiver executes the commands.
     pub fn open(&self) -> mpsc::UnboundedReceiver<LoanCommand> {
         let (sender, receiver) = mpsc::unbounded_channel();
         *self.commands.borrow_mut() = Some(sender);
@@ -310,14 +319,14 @@
         answer.await.unwrap_or(LoanOutcome::NoLender)
     }
 
-    /// Tells the lender what was used.
+    /// Reports to the lender what was used.
     pub fn settle(&self, loan: Loan, used: Tokens) {
         self.send(LoanCommand::Settle { loan, used });
     }
 
     fn send(&self, command: LoanCommand) {
         if let Some(commands) = self.commands.borrow().as_ref() {
-            // The receiver lives as long as the process.
+            // The receiver exists as long as the process.
             let _ = commands.send(command);
         }
     }
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,5 +1,5 @@
-//! Figures of a router, by OpenTelemetry under the usual Prometheus names. Label sets are bounded:
-//! reasons and ends are enumerations, nothing comes from a request.
+//! Metrics of a router, by OpenTelemetry under the usual Prometheus names. Label sets are bounded:
+//! reasons and ends are enumerations, and no label value comes from a request.
 
 use crate::refusal::Refusal;
 use stackpost_gateway_core::{AttemptEnd, BackoffChange};
@@ -7,10 +7,10 @@
 use stackpost_types::Millis;
 use std::time::Duration;
 
-/// Upper bounds of the buckets for times, in seconds.
+/// Upper bounds of the latency buckets, in seconds.
 const TIME_BUCKETS: [f64; 10] = [0.01, 0.03, 0.1, 0.2, 0.3, 0.5, 0.8, 1.5, 4.0, 15.0];
 
-/// Upper bounds of the buckets for the age of what is heard of engines, in seconds.
+/// Upper bounds of the buckets for the age of received departures, in seconds.
 const AGE_BUCKETS: [f64; 7] = [0.05, 0.2, 0.5, 1.0, 2.0, 5.0, 30.0];
 
 /// The instruments of a router.
@@ -19,29 +19,29 @@
     refused: Counter<u64>,
     attempts: Counter<u64>,
     resumed: Counter<u64>,
-    broken_off: Counter<u64>,
-    breaks: Counter<u64>,
+    interrupted: Counter<u64>,
+    liveness_probes: Counter<u64>,
     tokens: Counter<u64>,
     head_seconds: Histogram<f64>,
     configuration_version: Gauge<u64>,
-    in_touch: Gauge<u64>,
+    connected_to_leader: Gauge<u64>,
     engines: Gauge<u64>,
     quarantined: Gauge<u64>,
-    datagrams_refused: Counter<u64>,
-    rests: Counter<u64>,
-    rest_seconds: Counter<f64>,
-    engines_resting: Gauge<u64>,
-    wishes_refused: Counter<u64>,
-    engines_limited: Gauge<u64>,
-    sent_to_limited: Counter<u64>,
-    permits_asked: Counter<u64>,
+    malformed_datagrams: Counter<u64>,
+    backoffs: Counter<u64>,
+    backoff_seconds: Counter<f64>,
+    engines_backing_off: Gauge<u64>,
+    malformed_headers: Counter<u64>,
+    engines_rate_limited: Gauge<u64>,
+    sent_to_rate_limited: Counter<u64>,
+    permits_requested: Counter<u64>,
     permits_borrowed: Counter<u64>,
     departure_ages: Histogram<f64>,
     sent_after_departure: Counter<u64>,
 }
 
 impl RouterMetrics {
-    /// Makes the instruments.
+    /// Registers the instruments.
     pub fn new(meter: &Meter) -> Self {
         let counter = |name: &'static str, help: &'static str| {
             meter.u64_counter(name).with_description(help).build()
@@ -57,8 +57,8 @@
                 "Requests sent to engines, by their end",
             ),
             resumed: counter("stackpost_streams_resumed", "Streams taken up at another engine"),
-            broken_off: counter("stackpost_streams_broken_off", "Streams that broke off"),
-            breaks: counter(
+            interrupted: counter("stackpost_streams_broken_off", "Streams that broke off"),
+            liveness_probes: counter(
                 "stackpost_engine_breaks",
                 "Engines that broke an answer off, by whether they took connections after it",
             ),
@@ -69,31 +69,31 @@
                 .with_boundaries(TIME_BUCKETS.to_vec())
                 .build(),
             configuration_version: gauge("stackpost_configuration_version", "Configuration held"),
-            in_touch: gauge("stackpost_in_touch", "1 while a leader is heard"),
+            connected_to_leader: gauge("stackpost_in_touch", "1 while a leader is heard"),
             engines: gauge("stackpost_engines_ready", "Engines that take work"),
-            datagrams_refused: counter(
+            malformed_datagrams: counter(
                 "stackpost_datagrams_refused",
                 "Datagrams between routers that could not be read",
             ),
-            rests: counter("stackpost_engine_rests", "Rests that engines asked this router for"),
-            rest_seconds: meter
+            backoffs: counter("stackpost_engine_rests", "Rests that engines asked this router for"),
+            backoff_seconds: meter
                 .f64_counter("stackpost_engine_rest_seconds")
                 .with_description("Time for which engines asked for rest, overlaps counted once")
                 .build(),
-            engines_resting: gauge("stackpost_engines_resting", "Engines that rest"),
-            wishes_refused: counter(
+            engines_backing_off: gauge("stackpost_engines_resting", "Engines that rest"),
+            malformed_headers: counter(
                 "stackpost_wishes_refused",
                 "Headers of engines' answers whose value is none that is known, by header",
             ),
-            engines_limited: gauge(
+            engines_rate_limited: gauge(
                 "stackpost_engines_limited",
                 "Engines that state how many requests a second they take",
             ),
-            sent_to_limited: counter(
+            sent_to_rate_limited: counter(
                 "stackpost_requests_to_limited_engines",
                 "Requests sent to engines that state how many a second they take",
             ),
-            permits_asked: counter(
+            permits_requested: counter(
                 "stackpost_permits_asked",
                 "Permits for engines that other routers were asked for",
             ),
@@ -119,99 +119,104 @@
         }
     }
 
-    /// An engine's answer goes to the caller.
+    /// Records a response of an engine that is sent to the caller.
     pub fn on_response(&self, time_to_head: Duration) {
         self.answered.add(1, &[]);
         self.head_seconds.record(time_to_head.as_secs_f64(), &[]);
     }
 
-    /// A request is refused.
+    /// Counts a refused request.
     pub fn on_refusal(&self, refusal: Refusal) {
         self.refused.add(1, &[KeyValue::new("reason", refusal.code())]);
     }
 
-    /// An attempt has ended.
+    /// Counts the end of an attempt.
     pub fn on_attempt_end(&self, end: AttemptEnd) {
         self.attempts.add(1, &[KeyValue::new("end", end.as_str())]);
     }
 
-    /// A stream is taken up at another engine.
+    /// Counts a stream that is resumed at another engine.
     pub fn on_resumed(&self) {
         self.resumed.add(1, &[]);
     }
 
-    /// A stream broke off.
+    /// Counts an interrupted stream.
     pub fn on_interrupted(&self) {
-        self.broken_off.add(1, &[]);
+        self.interrupted.add(1, &[]);
     }
 
-    /// An engine broke an answer off, and has been looked at since.
-    pub fn on_liveness_probe(&self, lives: bool) {
-        let engine = if lives { "lives" } else { "ended" };
-        self.breaks.add(1, &[KeyValue::new("engine", engine)]);
+    /// Counts an interrupted response, by the result of the engine's liveness probe.
+    pub fn on_liveness_probe(&self, is_alive: bool) {
+        let engine = if is_alive { "lives" } else { "ended" };
+        self.liveness_probes.add(1, &[KeyValue::new("engine", engine)]);
     }
 
-    /// A datagram could not be read.
+    /// Counts a malformed datagram.
     pub fn on_malformed_datagram(&self) {
-        self.datagrams_refused.add(1, &[]);
+        self.malformed_datagrams.add(1, &[]);
     }
 
-    /// An engine has asked for rest.
+    /// Records a backoff that an engine asked for.
     pub fn on_backoff(&self, change: BackoffChange) {
-        self.rests.add(u64::from(change.begins), &[]);
-        self.rest_seconds.add(change.added.0 as f64 / 1_000.0, &[]);
+        self.backoffs.add(u64::from(change.begins), &[]);
+        self.backoff_seconds.add(change.added.0 as f64 / 1_000.0, &[]);
     }
 
-    /// A header with which an engine asks for something has no value that is known.
+    /// Counts a directive header with a malformed value.
     pub fn on_malformed_header(&self, header: &'static str) {
-        self.wishes_refused.add(1, &[KeyValue::new("header", header)]);
+        self.malformed_headers.add(1, &[KeyValue::new("header", header)]);
     }
 
-    /// Engines that rest, now and then.
+    /// Records the number of engines in backoff.
     pub fn record_backing_off(&self, engines: usize) {
-        self.engines_resting.record(engines as u64, &[]);
+        self.engines_backing_off.record(engines as u64, &[]);
     }
 
-    /// Engines that state a rate, now and then.
+    /// Records the number of engines that state a rate limit.
     pub fn record_rate_limited(&self, engines: usize) {
-        self.engines_limited.record(engines as u64, &[]);
+        self.engines_rate_limited.record(engines as u64, &[]);
     }
 
-    /// A request is sent to an engine that states a rate.
+    /// Counts a request sent to an engine that states a rate limit.
     pub fn on_sent_to_rate_limited(&self) {
-        self.sent_to_limited.add(1, &[]);
+        self.sent_to_rate_limited.add(1, &[]);
     }
 
-    /// Another router is asked for a permit.
+    /// Counts a permit requested from another router.
     pub fn on_permit_requested(&self) {
-        self.permits_asked.add(1, &[]);
+        self.permits_requested.add(1, &[]);
     }
 
-    /// Another router has given a permit.
+    /// Counts a permit borrowed from another router.
     pub fn on_permit_borrowed(&self) {
         self.permits_borrowed.add(1, &[]);
     }
 
-    /// An engine left `age` ago; `sent_since` requests were sent to it meanwhile.
+    /// Records that an engine left `age` ago and was sent `sent_since` requests since.
     pub fn on_departure(&self, age: Millis, sent_since: usize) {
         self.departure_ages.record(age.0 as f64 / 1_000.0, &[]);
         self.sent_after_departure.add(sent_since as u64, &[]);
     }
 
-    /// Tokens are settled.
+    /// Counts settled tokens.
     pub fn on_settled(&self, tokens: u64) {
         self.tokens.add(tokens, &[]);
     }
 
-    /// Requests that are let in no more, taken now and then.
+    /// Records the number of quarantined requests.
     pub fn record_quarantined(&self, requests: usize) {
         self.quarantined.record(requests as u64, &[]);
     }
 
-    /// What the router believes, now and then.
-    pub fn record_state(&self, configuration_version: u64, in_touch: bool, engines: usize) {
+    /// Records the router's configuration version, leader connection and ready engines.
+    pub fn record_state(
+        &self,
+        configuration_version: u64,
+        connected_to_leader: bool,
+        engines: usize,
+    ) {
         self.configuration_version.record(configuration_version, &[]);
-        self.in_touch.record(u64::from(in_touch), &[]);
+        self.connected_to_leader.record(u64::from(connected_to_leader), &[]);
         self.engines.record(engines as u64, &[]);
     }
 }
--- a/crates/gateway/src/peer_socket.rs
+++ b/crates/gateway/src/peer_socket.rs
@@ -1,4 +1,4 @@
-//! Datagrams between routers: short words that nobody waits for long, and that may be lost.
+//! Datagrams between routers: short messages that may be lost and are not waited for long.
 
 use crate::load_exchange::LoadUpdate;
 use crate::metrics::RouterMetrics;
@@ -11,37 +11,37 @@
 use std::time::Instant;
 use tokio::net::UdpSocket;
 
-/// Largest datagram that is read.
-const DATAGRAM_LIMIT: usize = 4_096;
+/// Size of the receive buffer.
+const MAX_DATAGRAM_BYTES: usize = 4_096;
 
-/// What one router tells another.
+/// A datagram from one router to another.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) enum PeerDatagram {
-    /// What it has sent to engines.
+    /// The load that the sender puts on engines.
     Load(LoadUpdate),
-    /// About permits to send requests to engines.
+    /// A message about permits to send requests to engines.
     Permit(PermitMessage),
-    /// Engines that ended under requests, each with the time since, while the leader can't be reached.
+    /// Crash sightings, each with its age, sent while the leader is unreachable.
     EngineCrashes(Vec<(CrashSighting, Millis)>),
 }
 
-/// A router's socket for datagrams.
+/// The UDP socket of a router.
 pub(crate) struct PeerSocket {
     socket: UdpSocket,
-    refused_lines: LineLimit,
+    malformed_lines: LineLimit,
 }
 
 impl PeerSocket {
-    /// Listens at `address`.
+    /// Binds a socket to `address`.
     pub async fn bind(address: SocketAddr) -> Result<Self, PeerError> {
         let listen_error = |error| PeerError::new(Step::Listen, address, error);
         let socket = UdpSocket::bind(address).await.map_err(listen_error)?;
-        // Until it has been seen to be writable once, everything sent without waiting would be lost.
+        // Until the socket has been polled writable once, every non-blocking send would fail.
         socket.writable().await.map_err(listen_error)?;
-        Ok(Self { socket, refused_lines: LineLimit::default() })
+        Ok(Self { socket, malformed_lines: LineLimit::default() })
     }
 
-    /// Sends a datagram. One that does not go out at once is lost, as any may be.
+    /// Sends a datagram without blocking. One that can't be sent at once is dropped.
     pub fn send(&self, to: SocketAddr, datagram: &PeerDatagram) {
         let bytes = postcard::to_stdvec(datagram).expect("datagrams can be encoded");
         if let Err(error) = self.socket.try_send_to(&bytes, to) {
@@ -49,28 +49,28 @@
         }
     }
 
-    /// The next datagram that can be read; others are counted.
+    /// Receives the next valid datagram; malformed ones are counted.
     pub async fn receive(&self, metrics: &RouterMetrics) -> (PeerDatagram, SocketAddr) {
-        let mut buffer = vec![0; DATAGRAM_LIMIT];
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         loop {
             let (length, from) = match self.socket.recv_from(&mut buffer).await {
                 Ok(received) => received,
                 Err(error) => {
-                    // An earlier datagram met a closed port; the socket goes on.
+                    // An earlier datagram reached a closed port; the socket stays usable.
                     log::debug!(step = "datagram"; "{error}");
                     continue;
                 }
             };
             match postcard::from_bytes(&buffer[..length]) {
                 Ok(datagram) => return (datagram, from),
-                Err(error) => self.refuse(metrics, from, &error),
+                Err(error) => self.on_malformed(metrics, from, &error),
             }
         }
     }
 
-    fn refuse(&self, metrics: &RouterMetrics, from: SocketAddr, error: &postcard::Error) {
+    fn on_malformed(&self, metrics: &RouterMetrics, from: SocketAddr, error: &postcard::Error) {
         metrics.on_malformed_datagram();
-        if let Some(held_back) = self.refused_lines.pass(Instant::now()) {
+        if let Some(held_back) = self.malformed_lines.pass(Instant::now()) {
             let peer = from.to_string();
             log::warn!(step = "datagram", peer = peer.as_str(), held_back = held_back; "{error}");
         }
--- a/crates/gateway/src/permit_lending.rs
+++ b/crates/gateway/src/permit_lending.rs
@@ -1,4 +1,4 @@
-//! Gives permits to other routers.
+//! Lends permits to other routers.
 
 use crate::permits::{LentSlot, PermitMessage, PermitReply};
 use crate::router::Router;
@@ -7,12 +7,12 @@
 use std::net::SocketAddr;
 
 impl Router {
-    /// Takes in what another router says of permits.
+    /// Handles a permit message of another router.
     pub(crate) fn on_permit_message(&self, from: SocketAddr, message: PermitMessage) {
         let pool = &self.permits;
         match message {
             PermitMessage::Request { token, service, needs_slot, unusable, needed, rates } => {
-                let better = self.newer_rates(&rates);
+                let newer = self.newer_rates(&rates);
                 self.on_rates_received(&rates);
                 let scope = if needs_slot { PermitScope::RateAndSlot } else { PermitScope::Rate };
                 let engine = self.lend(from, token, &service, scope, &unusable, needed);
@@ -20,17 +20,17 @@
                     if engine.is_none() { self.exhausted_for(&service, &unusable) } else { None };
                 pool.send(
                     from,
-                    PermitMessage::Reply { token, engine, exhausted_for, rates: better },
+                    PermitMessage::Reply { token, engine, exhausted_for, rates: newer },
                 );
             }
             PermitMessage::Reply { token, engine, exhausted_for, rates } => {
                 let awaiting_reply = pool.awaiting_reply.borrow_mut().remove(&token);
                 let is_lent = engine.is_some();
-                let answer = PermitReply { engine, exhausted_for, rates };
-                // The request may have given up waiting.
-                let came_late = awaiting_reply
-                    .is_none_or(|awaiting_reply| awaiting_reply.send(answer).is_err());
-                if came_late && is_lent {
+                let reply = PermitReply { engine, exhausted_for, rates };
+                // The request may no longer wait.
+                let is_late =
+                    awaiting_reply.is_none_or(|awaiting_reply| awaiting_reply.send(reply).is_err());
+                if is_late && is_lent {
                     pool.send(from, PermitMessage::Return { token });
                 }
             }
@@ -40,29 +40,29 @@
                 }
             }
             PermitMessage::Rates { rates, compare } => {
-                let better = if compare { self.newer_rates(&rates) } else { Vec::new() };
+                let newer = if compare { self.newer_rates(&rates) } else { Vec::new() };
                 self.on_rates_received(&rates);
-                if !better.is_empty() {
-                    pool.send(from, PermitMessage::Rates { rates: better, compare: false });
+                if !newer.is_empty() {
+                    pool.send(from, PermitMessage::Rates { rates: newer, compare: false });
                 }
             }
         }
     }
 
-    /// Time until this router has a permit by a rate to give; `None` if it owns no engine that would do.
+    /// Time until this router has a rate permit to lend; `None` if it owns no suitable engine.
     fn exhausted_for(&self, service: &ServiceName, unusable: &[BackEndName]) -> Option<Millis> {
         let directory = self.directory.borrow();
-        let would_do = |engine: &BackEndName| {
+        let is_suitable = |engine: &BackEndName| {
             let record = directory.get(engine);
             record.is_some_and(|record| record.notice.service == *service)
                 && !unusable.contains(engine)
         };
-        self.permits.permits.borrow_mut().next_owned_permit(self.now(), would_do)
+        self.permits.permits.borrow_mut().next_owned_permit(self.now(), is_suitable)
     }
 
-    /// Gives a permit for the engine of which this router has most free slots, unless requests of its own wait for one.
-    /// Engines that have asked this router for rest come first: they are of no use here, and a rest binds one router
-    /// only.
+    /// Lends a permit for the engine of which this router has most free slots, unless requests of
+    /// its own wait for one. Engines that have asked this router for a backoff come first: it can't
+    /// use them itself, and a backoff applies to one router only.
     fn lend(
         &self,
         borrower: SocketAddr,
@@ -77,14 +77,14 @@
         if pool.lent.borrow().contains_key(&(borrower, token)) {
             return None;
         }
-        let own_wait = pool.has_waiters(service);
+        let has_own_waiters = pool.has_waiters(service);
         let (directory, picker) = (self.directory.borrow(), self.picker.borrow());
         let is_usable = |record: &&EngineRecord| {
             record.notice.service == *service
                 && record.notice.state == EngineState::Ready
                 && !unusable.contains(&record.notice.engine)
         };
-        // Only owned engines have permits by a rate alone to give; there are few of them where there are many routers.
+        // Only owned engines have rate permits to lend; with many routers each owns few engines.
         let usable: Vec<&EngineRecord> = match scope {
             PermitScope::Rate => {
                 let owned = pool.permits.borrow().owned();
@@ -96,10 +96,14 @@
         let mut permits = pool.permits.borrow_mut();
         let offers = usable.into_iter().filter_map(|record| {
             let engine = &record.notice.engine;
-            let rests_here = !picker.is_available(now, engine);
-            let gives = self.gives(&mut permits, now, record, scope);
+            let is_backing_off = !picker.is_available(now, engine);
+            let can_lend = self.can_lend(&mut permits, now, record, scope);
             let free = permits.free_slots(now, record);
-            (gives && (rests_here || !own_wait)).then_some((rests_here, free, engine))
+            (can_lend && (is_backing_off || !has_own_waiters)).then_some((
+                is_backing_off,
+                free,
+                engine,
+            ))
         });
         let (_, _, engine) = offers.max()?;
         permits.take(now, engine, scope);
@@ -110,9 +114,9 @@
         Some(engine.clone())
     }
 
-    /// Whether this router answers for an engine and has room there. Nobody needs a permit for an engine that states no rate
-    /// unless slots are counted.
-    fn gives(
+    /// Whether this router has a permit to lend for an engine. For an engine that states no rate
+    /// limit nobody needs a permit unless slots are enforced.
+    fn can_lend(
         &self,
         permits: &mut EnginePermits,
         now: Timestamp,
--- a/crates/gateway/src/permits.rs
+++ b/crates/gateway/src/permits.rs
@@ -1,9 +1,9 @@
-//! Permits to send requests to engines: own ones, and ones that other routers give.
+//! Permits to send requests to engines: the router's own ones and borrowed ones.
 //!
-//! While a service is held to its engines' slots, or its engines state rates, a request waits for a permit for a moment
-//! instead of being sent where it would be too much. With engines of one slot that ask for three seconds of rest
-//! (twelve, six routers, requests of 50 ms) this is what lets rests be kept and callers be served: figures in
-//! docs/BENCHMARKS.md.
+//! While the engines' slots are enforced for a service, or its engines state rate limits, a request
+//! waits briefly for a permit instead of being sent to an engine at its limit. With engines of one
+//! slot that ask for a backoff of three seconds (twelve engines, six routers, requests of 50 ms),
+//! this keeps the backoffs and still serves the callers: figures in docs/BENCHMARKS.md.
 
 use crate::peer_socket::{PeerDatagram, PeerSocket};
 use crate::router::Router;
@@ -21,50 +21,54 @@
 use tokio::sync::{Notify, oneshot};
 use tokio::time::{Instant, timeout_at};
 
-/// Longest wait for a lender: some times the way there and back between zones (2 ms), and less than a request waits.
-const ANSWER_TIME: Duration = Duration::from_millis(12);
-/// Routers that one request may ask for a slot: more find few further ones, and each costs two datagrams.
+/// Longest wait for a lender's reply: several round trips between zones (2 ms each), and less than
+/// a request waits.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(12);
+/// Routers that one request may ask for a slot: asking further ones finds few additional free
+/// slots, and each costs two datagrams.
 pub(crate) const MAX_LENDERS: usize = 4;
-/// Owners of stated rates that one request may ask. Few are enough: an owner that has nothing says until when, so that
-/// requests do not ask it before.
+/// Owners of rate limits that one request may ask. Few suffice: an owner without a permit states
+/// when it will have one, and requests do not ask it before.
 pub(crate) const MAX_OWNERS: usize = 2;
-/// Most engines that one datagram names as of no use, so that it fits one packet.
-const MOST_UNUSABLE: usize = 32;
+/// Maximum number of unusable engines in one datagram, so that it fits one packet.
+const MAX_UNUSABLE: usize = 32;
 
-/// What routers say of permits.
+/// Messages about permits between routers.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) enum PermitMessage {
-    /// Give me a permit of yours.
+    /// Asks for a permit of the receiver.
     Request {
-        /// Names the permit among those of the asker.
+        /// Identifies the permit among those of the sender.
         token: u64,
         service: ServiceName,
-        /// Whether a free slot is needed, too.
+        /// Whether a free slot is needed in addition to a rate permit.
         needs_slot: bool,
-        /// Engines that are of no use to the request: it was sent there, or they have asked the asker for rest.
+        /// Engines that the request can't use: it was sent there, or they asked the sender for a
+        /// backoff.
         unusable: Vec<BackEndName>,
-        /// How long the slot is needed at most.
+        /// Longest time for which the slot is needed.
         needed: Millis,
-        /// What the asker knows of the rates of engines that the other router owns.
+        /// The sender's knowledge of the rate limits of engines that the receiver owns.
         rates: Vec<RateUpdate>,
     },
-    /// Answer to `Request`.
+    /// Reply to `Request`.
     Reply {
         token: u64,
-        /// The engine, if there is one.
+        /// The engine, if a permit was granted.
         engine: Option<BackEndName>,
-        /// For how long there will be no permit by a rate, if that is known.
+        /// Time until the next rate permit, if known.
         exhausted_for: Option<Millis>,
-        /// What the asker does not know yet of the rates that it told of.
+        /// Newer statements of the rate limits that the request carried.
         rates: Vec<RateUpdate>,
     },
-    /// The slot is no longer needed.
+    /// Returns the slot.
     Return { token: u64 },
-    /// Statements of engines' rates. An owner answers those that it knows better.
+    /// Rate limits stated by engines. With `compare` the receiver replies with those of which it
+    /// has a newer statement.
     Rates { rates: Vec<RateUpdate>, compare: bool },
 }
 
-/// What a lender answers.
+/// A lender's reply.
 pub(crate) struct PermitReply {
     pub engine: Option<BackEndName>,
     pub exhausted_for: Option<Millis>,
@@ -74,14 +78,14 @@
 /// A slot that this router has lent.
 pub(crate) struct LentSlot {
     pub engine: BackEndName,
-    /// When the request is over in any case, should its return be lost.
+    /// When the request has ended at the latest, in case its return is lost.
     pub until: Timestamp,
 }
 
-/// A router's permits.
+/// The permits of this router.
 pub(crate) struct PermitPool {
     pub permits: RefCell<EnginePermits>,
-    /// Rung when a slot is free again.
+    /// Notified when a slot is released.
     pub freed: Notify,
     waiting: RefCell<HashMap<ServiceName, usize>>,
     pub lent: RefCell<HashMap<(SocketAddr, u64), LentSlot>>,
@@ -92,9 +96,9 @@
 
 impl Default for PermitPool {
     fn default() -> Self {
-        let nowhere = SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0));
+        let unspecified = SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0));
         Self {
-            permits: RefCell::new(EnginePermits::new(nowhere)),
+            permits: RefCell::new(EnginePermits::new(unspecified)),
             freed: Notify::new(),
             waiting: RefCell::default(),
             lent: RefCell::default(),
@@ -105,8 +109,8 @@
     }
 }
 
-/// Leave to send a request to an engine. Dropped, the slot that it holds there is free again; what it has taken of
-/// the engine's rate is spent.
+/// Permission to send a request to an engine. On drop the slot is released; the part that was taken
+/// from the engine's rate limit stays spent.
 pub(crate) struct Permit {
     router: Rc<Router>,
     source: Source,
@@ -118,7 +122,8 @@
 }
 
 impl Permit {
-    /// Takes this router's own permit for an engine, whether there is room or not. `None` if nothing is to be given back.
+    /// Takes this router's own permit for an engine, even if none is left. `None` if nothing has to
+    /// be released.
     pub fn own(router: &Rc<Router>, engine: &BackEndName, scope: PermitScope) -> Option<Self> {
         router.permits.permits.borrow_mut().take(router.now(), engine, scope);
         let source = Source::Own(engine.clone());
@@ -138,7 +143,7 @@
     }
 }
 
-/// A request that waits for a permit for a service.
+/// Counts a request that waits for a permit for a service.
 pub(crate) struct PermitWait<'a> {
     pool: &'a PermitPool,
     service: &'a ServiceName,
@@ -154,84 +159,87 @@
 }
 
 impl PermitPool {
-    /// Connects the pool with other routers, which know this one by `own`. `life` names this life of the router: what
-    /// the one before had borrowed is not taken for its own.
-    pub fn open(&self, life: u64, own: SocketAddr, socket: Rc<PeerSocket>) {
-        self.next_token.set(life);
+    /// Connects the pool to other routers, which know this one by the address `own`. `incarnation`
+    /// identifies this run of the router, so that permits borrowed by the previous run are not
+    /// taken for its own.
+    pub fn open(&self, incarnation: u64, own: SocketAddr, socket: Rc<PeerSocket>) {
+        self.next_token.set(incarnation);
         *self.permits.borrow_mut() = EnginePermits::new(own);
         *self.socket.borrow_mut() = Some(socket);
     }
 
-    /// Takes over which other routers there are.
+    /// Sets the other routers of the fleet.
     pub fn set_others(&self, now: Timestamp, others: &[SocketAddr]) {
         self.permits.borrow_mut().set_others(now, others);
     }
 
-    /// An engine of a service has asked for rest.
+    /// Records that an engine of a service asked for a backoff.
     pub fn on_backoff(&self, now: Timestamp, service: &ServiceName) {
         self.permits.borrow_mut().slots().on_backoff(now, service);
     }
 
-    /// Whether what is sent to a service is held to its engines' slots.
+    /// Whether the slots of the service's engines are enforced.
     pub fn enforces_slots(&self, now: Timestamp, service: &ServiceName) -> bool {
         self.permits.borrow_mut().slots().is_slot_limited(now, service)
     }
 
-    /// Whether this router may send a request to an engine without asking another one.
+    /// Whether this router has a permit of its own for an engine.
     pub fn has_room(&self, now: Timestamp, engine: &EngineRecord, scope: PermitScope) -> bool {
         self.permits.borrow_mut().has_room(now, engine, scope)
     }
 
-    /// Takes in what the answer to a request that was sent at `asked_at` says of its engine's rate.
+    /// Records the rate limit stated in the response to a request that was sent at `sent_at`.
     pub fn learn(
         &self,
         now: Timestamp,
         engine: &BackEndName,
-        asked_at: Timestamp,
+        sent_at: Timestamp,
         statement: RateStatement,
     ) -> Option<RateChange> {
-        self.permits.borrow_mut().learn(now, engine, asked_at, statement)
+        self.permits.borrow_mut().learn(now, engine, sent_at, statement)
     }
 
-    /// Whether an engine states a rate.
+    /// Whether an engine states a rate limit.
     pub fn is_rate_limited(&self, engine: &BackEndName) -> bool {
         self.permits.borrow().rates().rate(engine).is_some()
     }
 
-    /// What an engine has stated last.
+    /// The latest rate limit that an engine stated.
     pub fn statement(&self, now: Timestamp, engine: &BackEndName) -> Option<RateUpdate> {
         self.permits.borrow().rates().update_for(now, engine)
     }
 
-    /// Engines that state a rate.
+    /// Number of engines that state a rate limit.
     pub fn rate_limited_engines(&self) -> usize {
         self.permits.borrow().rates().limited().count()
     }
 
-    /// Whether requests wait for a permit for a service: who comes later, or from elsewhere, does not pass them.
+    /// Whether requests wait for a permit for a service. Later requests and those of other routers
+    /// queue behind them.
     pub fn has_waiters(&self, service: &ServiceName) -> bool {
         self.waiting.borrow().get(service).is_some_and(|requests| *requests > 0)
     }
 
-    /// Counts a request that waits, until what is returned is dropped.
+    /// Counts a waiting request until the returned value is dropped.
     pub fn wait<'a>(&'a self, service: &'a ServiceName) -> PermitWait<'a> {
         *self.waiting.borrow_mut().entry(service.clone()).or_default() += 1;
         PermitWait { pool: self, service }
     }
 
-    /// Forgets engines that the directory no longer knows, takes back slots whose return was lost, and forgets questions that nobody waits for any more: their caller has gone
-    /// and the router that was asked may never answer.
+    /// Evicts engines that the directory no longer contains, releases slots whose return was lost,
+    /// and removes queries whose request has been cancelled: the router that was asked may never
+    /// reply.
     pub fn forget_old(&self, now: Timestamp, directory: &EngineDirectory) {
         self.permits.borrow_mut().forget_unknown(directory);
         self.awaiting_reply.borrow_mut().retain(|_, reply| !reply.is_closed());
-        let is_over = |lent: &LentSlot| lent.until <= now;
-        let over: Vec<LentSlot> = self
+        let is_expired = |lent: &LentSlot| lent.until <= now;
+        let expired: Vec<LentSlot> = self
             .lent
             .borrow_mut()
-            .extract_if(|_, lent| is_over(lent))
+            .extract_if(|_, lent| is_expired(lent))
             .map(|(_, lent)| lent)
             .collect();
-        over.iter().for_each(|lent| self.release_slot(&lent.engine));
+        expired.iter().for_each(|lent| self.release_slot(&lent.engine));
     }
 
     pub fn release_slot(&self, engine: &BackEndName) {
@@ -247,8 +255,8 @@
 }
 
 impl Router {
-    /// Asks another router for a permit that a request needs until `deadline`. The engine is one that this router knows; the
-    /// permit is `None` if nothing is to be given back.
+    /// Asks another router for a permit that a request needs until `deadline`. Returns an engine
+    /// that this router knows; the permit is `None` if nothing has to be released.
     pub(crate) async fn borrow_permit(
         self: &Rc<Self>,
         lender: SocketAddr,
@@ -261,9 +269,9 @@
         let pool = &self.permits;
         let token = pool.next_token.get();
         pool.next_token.set(token.wrapping_add(1));
-        let (reply, answer) = oneshot::channel();
+        let (reply, reply_receiver) = oneshot::channel();
         pool.awaiting_reply.borrow_mut().insert(token, reply);
-        let question = PermitMessage::Request {
+        let query = PermitMessage::Request {
             token,
             service: service.clone(),
             needs_slot: scope == PermitScope::RateAndSlot,
@@ -271,18 +279,18 @@
             needed: Millis(deadline.saturating_duration_since(Instant::now()).as_millis() as u64),
             rates: self.rates_owned_by(lender, service),
         };
-        pool.send(lender, question);
+        pool.send(lender, query);
         self.metrics.on_permit_requested();
-        let until = wait_until.min(Instant::now() + ANSWER_TIME);
-        let answered = timeout_at(until, answer).await;
+        let until = wait_until.min(Instant::now() + REPLY_TIMEOUT);
+        let received = timeout_at(until, reply_receiver).await;
         pool.awaiting_reply.borrow_mut().remove(&token);
-        let Ok(answered) = answered else {
+        let Ok(received) = received else {
             if until < wait_until {
                 pool.permits.borrow_mut().slots().on_no_answer(self.now(), lender);
             }
             return None;
         };
-        let PermitReply { engine, exhausted_for, rates } = answered.ok()?;
+        let PermitReply { engine, exhausted_for, rates } = received.ok()?;
         self.on_rates_received(&rates);
         if let Some(wait) = exhausted_for {
             pool.permits.borrow_mut().on_spent(self.now(), lender, service, wait);
@@ -296,11 +304,12 @@
             return None;
         }
         let record = self.directory.borrow().get(&engine).cloned();
-        record.filter(|record| self.may_be_asked(record)).map(|record| (record, permit))
+        record.filter(|record| self.may_be_used(record)).map(|record| (record, permit))
     }
 
-    /// What a request for a service that was sent to `tried` can expect, as far as its engines state what they take.
-    pub(crate) fn permit_outlook(
+    /// Availability of rate permits for a request that was sent to `tried`, as stated by the
+    /// service's engines.
+    pub(crate) fn permit_availability(
         &self,
         service: &ServiceName,
         tried: &[BackEndName],
@@ -311,7 +320,7 @@
         self.permits.permits.borrow_mut().availability(self.now(), open)
     }
 
-    /// Rates of a service's engines that this router owns, together.
+    /// Sum of the rate limits of a service's engines that this router owns.
     pub(crate) fn owned_rate(&self, service: &ServiceName) -> RequestRate {
         let directory = self.directory.borrow();
         let is_available = |engine: &BackEndName| {
@@ -321,37 +330,39 @@
     }
 
     /// Routers to ask for a permit for a service, for a request that was sent to `tried`.
+    /// `tie_breaker` spreads requests over the routers.
     pub(crate) fn lenders(
         &self,
         service: &ServiceName,
         scope: PermitScope,
         tried: &[BackEndName],
-        lot: u64,
+        tie_breaker: u64,
     ) -> Vec<SocketAddr> {
         let directory = self.directory.borrow();
         let open = directory.iter().filter(|record| self.is_available(record, service));
         let open = open.filter(|record| !tried.contains(&record.notice.engine));
-        self.permits.permits.borrow_mut().lenders(self.now(), lot, scope, open)
+        self.permits.permits.borrow_mut().lenders(self.now(), tie_breaker, scope, open)
     }
 
-    /// Whether an engine is one of a service and may be asked, as far as it has said itself.
+    /// Whether an engine belongs to a service, is ready and has not asked for a backoff.
     fn is_available(&self, record: &EngineRecord, service: &ServiceName) -> bool {
         record.notice.service == *service
             && record.notice.state == EngineState::Ready
             && self.picker.borrow().is_available(self.now(), &record.notice.engine)
     }
 
-    /// Engines of a service that a request which was sent to `tried` can't use.
+    /// Engines of a service that a request sent to `tried` can't use.
     fn unusable(&self, service: &ServiceName, tried: &[BackEndName]) -> Vec<BackEndName> {
         let directory = self.directory.borrow();
         let of_service = directory.iter().filter(|record| record.notice.service == *service);
-        let closed = of_service.filter(|record| !self.may_be_asked(record));
-        let closed = closed.map(|record| &record.notice.engine);
-        tried.iter().chain(closed).take(MOST_UNUSABLE).cloned().collect()
+        let unavailable = of_service.filter(|record| !self.may_be_used(record));
+        let unavailable = unavailable.map(|record| &record.notice.engine);
+        tried.iter().chain(unavailable).take(MAX_UNUSABLE).cloned().collect()
     }
 
-    /// Whether an engine is worth a question: it takes work and has not failed here of late.
-    fn may_be_asked(&self, engine: &EngineRecord) -> bool {
+    /// Whether an engine is worth borrowing a permit for: it accepts requests and has not failed
+    /// here recently.
+    fn may_be_used(&self, engine: &EngineRecord) -> bool {
         let (now, picker) = (self.now(), self.picker.borrow());
         let is_silent = self.directory.borrow().is_silent(&engine.notice.engine);
         engine.notice.state == EngineState::Ready
--- a/crates/gateway/src/rate_exchange.rs
+++ b/crates/gateway/src/rate_exchange.rs
@@ -1,4 +1,4 @@
-//! Routers tell one another what engines state of the requests a second that they take.
+//! Exchange of engines' stated rate limits between routers.
 
 use crate::decision_log;
 use crate::permits::PermitMessage;
@@ -8,11 +8,11 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// Most statements of rates in one datagram, so that it fits one packet.
-const MOST_NEWS: usize = 16;
+/// Maximum number of rate updates in one datagram, so that it fits one packet.
+const MAX_RATE_UPDATES: usize = 16;
 
 impl Router {
-    /// What this router knows of the rates of a service's engines that another router owns.
+    /// Known rate limits of a service's engines that another router owns.
     pub(crate) fn rates_owned_by(
         &self,
         owner: SocketAddr,
@@ -23,41 +23,43 @@
             directory.get(engine).is_some_and(|record| record.notice.service == *service)
         };
         let permits = self.permits.permits.borrow();
-        permits.updates_for_owner(self.now(), owner, is_of_service, MOST_NEWS)
+        permits.updates_for_owner(self.now(), owner, is_of_service, MAX_RATE_UPDATES)
     }
 
-    /// Takes in what another router has heard of engines' rates.
+    /// Applies rate updates of another router.
     pub(crate) fn on_rates_received(&self, rates: &[RateUpdate]) {
         let now = self.now();
-        for news in rates {
-            // Anyone may send a datagram, so nothing is kept of an engine that nobody has announced.
-            if self.directory.borrow().get(&news.engine).is_none() {
+        for update in rates {
+            // Datagrams are not authenticated, so nothing is stored for an engine that was never
+            // announced.
+            if self.directory.borrow().get(&update.engine).is_none() {
                 continue;
             }
-            let change = self.permits.permits.borrow_mut().learn_from_peer(now, news);
+            let change = self.permits.permits.borrow_mut().learn_from_peer(now, update);
             if let Some(change) = change {
-                decision_log::rate_changed(self, None, &news.engine, news.age, change);
+                decision_log::rate_changed(self, None, &update.engine, update.age, change);
             }
         }
     }
 
-    /// Statements that this router knows better than who told it of them.
-    pub(crate) fn newer_rates(&self, told: &[RateUpdate]) -> Vec<RateUpdate> {
+    /// Rate limits of which this router has a newer statement than `received`.
+    pub(crate) fn newer_rates(&self, received: &[RateUpdate]) -> Vec<RateUpdate> {
         let (now, permits) = (self.now(), self.permits.permits.borrow());
-        let own = told.iter().filter_map(|news| {
-            let own = permits.rates().update_for(now, &news.engine)?;
-            (own.rate != news.rate && own.age < news.age).then_some(own)
+        let own = received.iter().filter_map(|update| {
+            let own = permits.rates().update_for(now, &update.engine)?;
+            (own.rate != update.rate && own.age < update.age).then_some(own)
         });
         own.collect()
     }
 
-    /// Tells what has changed in engines' rates: their owners, and of those that this router owns everyone. If all told
-    /// everyone, what is said would grow with the square of the routers that hear one engine's change.
+    /// Sends changed rate limits: to the owners of the engines, and those of engines that this
+    /// router owns to all routers. If every router sent them to all others, the traffic would grow
+    /// with the square of the number of routers that observe the change.
     pub(crate) fn publish_rates(&self) {
-        let news = self.permits.permits.borrow_mut().rates_mut().take_updates(self.now());
+        let updates = self.permits.permits.borrow_mut().rates_mut().take_updates(self.now());
         let (own, of_others): (Vec<RateUpdate>, Vec<RateUpdate>) = {
             let mut permits = self.permits.permits.borrow_mut();
-            news.into_iter().partition(|one| permits.owns(&one.engine))
+            updates.into_iter().partition(|update| permits.owns(&update.engine))
         };
         let others = self.permits.permits.borrow().others();
         for other in others.into_iter().filter(|_| !own.is_empty()) {
@@ -68,21 +70,22 @@
         }
     }
 
-    /// Tells the owner of an engine at once of a change that this router has heard.
+    /// Sends a changed rate limit to the engine's owner at once.
     pub(crate) fn notify_rate_owner(&self, engine: &BackEndName) {
-        let news = self.permits.statement(self.now(), engine);
-        for (owner, rates) in self.by_owner(news.into_iter().collect()) {
+        let update = self.permits.statement(self.now(), engine);
+        for (owner, rates) in self.by_owner(update.into_iter().collect()) {
             self.send_rates(owner, &rates, false);
         }
     }
 
     fn send_rates(&self, to: SocketAddr, rates: &[RateUpdate], compare: bool) {
-        for rates in rates.chunks(MOST_NEWS) {
+        for rates in rates.chunks(MAX_RATE_UPDATES) {
             self.permits.send(to, PermitMessage::Rates { rates: rates.to_vec(), compare });
         }
     }
 
-    /// Compares statements that no answer has confirmed for long with what their owners know.
+    /// Compares rate limits that no response has confirmed for long with those known to their
+    /// owners.
     pub(crate) fn revalidate_old_rates(&self) {
         let old = self.permits.permits.borrow_mut().rates_mut().take_stale(self.now());
         for (owner, rates) in self.by_owner(old) {
@@ -90,14 +93,14 @@
         }
     }
 
-    /// Statements by the other routers that own their engines.
-    fn by_owner(&self, news: Vec<RateUpdate>) -> HashMap<SocketAddr, Vec<RateUpdate>> {
+    /// Groups rate limits by the other routers that own their engines.
+    fn by_owner(&self, updates: Vec<RateUpdate>) -> HashMap<SocketAddr, Vec<RateUpdate>> {
         let mut permits = self.permits.permits.borrow_mut();
         let own = permits.slots().own_address();
         let mut by_owner: HashMap<SocketAddr, Vec<RateUpdate>> = HashMap::new();
-        for one in news {
-            match permits.owner(&one.engine) {
-                Some(owner) if owner != own => by_owner.entry(owner).or_default().push(one),
+        for update in updates {
+            match permits.owner(&update.engine) {
+                Some(owner) if owner != own => by_owner.entry(owner).or_default().push(update),
                 _ => {}
             }
         }
--- a/crates/gateway/src/refusal.rs
+++ b/crates/gateway/src/refusal.rs
@@ -1,89 +1,92 @@
-//! Final answers that the router makes itself.
+//! Final responses that the router generates itself.
 
 use crate::body::GatewayBody;
 use hyper::header::{CONTENT_TYPE, HeaderValue, RETRY_AFTER};
 use hyper::{Response, StatusCode};
 use stackpost_types::Millis;
 
-/// Time within which a restarted router is usually configured: after a loss of power of all machines
-/// 0.5 to 0.7 s (replays of trouble-1 and scale-2).
+/// Time within which a restarted router usually has its configuration: 0.5 to 0.7 s after a power
+/// failure of all machines.
 const CONFIGURED_WITHIN: Millis = Millis(700);
-/// A leader that is out of sight is seldom back sooner; a try before that would meet the same
-/// balances and be refused again.
+/// Time after which an unreachable leader is usually back or replaced; an earlier retry would meet
+/// the same balances and be refused again.
 const LEADER_BACK_WITHIN: Millis = Millis(3_000);
 
-/// The leader plans budgets four times a second, and what it hands out is here within one more round: a try before that
-/// would meet the same balances.
+/// The leader plans budgets four times a second, and its allotments arrive within one more round:
+/// an earlier retry would meet the same balances.
 const NEXT_ALLOTMENT_WITHIN: Millis = Millis(500);
-/// Time over which callers return whose engines all rest: engines are to serve again within half a second.
-const RETURN_SPREAD: Millis = Millis(400);
-/// Nobody is told to stay away for longer: by then engines may have come that rest from nothing (a replacement takes
-/// three to four seconds, a day of new engines some more).
-const LONGEST_RETRY_AFTER: Millis = Millis(30_000);
+/// Interval over which retries are spread if all engines have asked for a backoff: engines are to
+/// serve again within half a second.
+const RETRY_SPREAD: Millis = Millis(400);
+/// Longest retry delay sent to callers: by then new engines without a backoff may have joined (a
+/// replacement takes three to four seconds, a larger set of new engines longer).
+const MAX_RETRY_AFTER: Millis = Millis(30_000);
 
-/// Why a request gets no engine's answer.
+/// Why a request gets no response of an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
     /// The router has no configuration yet.
     NotConfigured,
-    /// The router stops.
+    /// The router is shutting down.
     Stopping,
     /// No route matches.
     NoRoute,
-    /// The key is not known.
+    /// The API key is unknown.
     UnknownKey,
-    /// Route or key is not known here, but the router may be behind a change.
+    /// Route or key is unknown here, but the router's configuration may be out of date.
     ConfigMayBeStale,
-    /// A header can't be read.
+    /// A header is malformed.
     Malformed,
-    /// The body is too long.
+    /// The body is too large.
     BodyTooLarge,
-    /// The body did not come in whole.
+    /// The body was not received completely.
     BodyIncomplete,
-    /// The tenant's budget does not cover the request here and now.
+    /// The tenant's budget does not cover the request at present.
     BudgetExhausted,
-    /// What this router and others in reach hold of the tenant's budget does not cover the request,
-    /// and the leader can't be asked.
+    /// The tokens that this router and other reachable ones hold of the tenant's budget do not
+    /// cover the request, and the leader can't be reached.
     BudgetUnavailable,
-    /// No engine of the service takes work.
+    /// No engine of the service accepts requests.
     NoEngine,
-    /// The engines have no room.
+    /// The engines have no free capacity.
     EnginesFull,
-    /// Every engine of the service has asked for rest.
+    /// Every engine of the service has asked for a backoff.
     EnginesBackingOff {
-        /// When to come again: the soonest end of a rest, spread ([`retry_after_backoff`]).
+        /// When to retry: the earliest end of a backoff, spread ([`retry_after_backoff`]).
         retry_after: Millis,
     },
-    /// Every engine of the service states how many requests a second it takes, and has had them.
+    /// Every engine of the service states a rate limit, and all of them are exhausted.
     RateLimitsExhausted {
-        /// When to come again: behind those who were told before, at the pace at which permits come.
+        /// When to retry: after the callers refused before, at the rate at which permits become
+        /// available.
         retry_after: Millis,
     },
-    /// The engines can't be reached.
+    /// The engines are unreachable.
     Unreachable,
-    /// The time is over and the request has not run.
+    /// The deadline has passed and the request has not run.
     DeadlineExceeded,
-    /// Engines have ended under this very request, so it is sent to none.
+    /// Engines have crashed under this request, so it is sent to none.
     CrashesEngines {
-        /// When to come again: once the quarantine is over, or as long as it may still be taken back, soon.
+        /// When to retry: at the end of the quarantine, or soon as long as the quarantine may still
+        /// be lifted.
         retry_after: Millis,
     },
-    /// The request may have run; its answer is lost.
+    /// The request may have run; its response is lost.
     ResponseLost,
-    /// The time is over and the request may have run.
+    /// The deadline has passed and the request may have run.
     DeadlineExceededUnknown,
 }
 
-/// When a caller should come again whose engines all rest: once the first rest is over (`soonest`), at a moment of
-/// its own (`lot`, any number) within [`RETURN_SPREAD`], so that callers who were refused together do not return
-/// together.
-pub fn retry_after_backoff(soonest: Millis, lot: u64) -> Millis {
-    let spread = Millis(lot % RETURN_SPREAD.0);
-    Millis((soonest.0 + spread.0).min(LONGEST_RETRY_AFTER.0))
+/// When a caller should retry if all engines have asked for a backoff: after the earliest end of a
+/// backoff (`soonest`), at an offset within [`RETRY_SPREAD`] derived from `tie_breaker` (any
+/// number), so that callers refused together do not retry together.
+pub fn retry_after_backoff(soonest: Millis, tie_breaker: u64) -> Millis {
+    let spread = Millis(tie_breaker % RETRY_SPREAD.0);
+    Millis((soonest.0 + spread.0).min(MAX_RETRY_AFTER.0))
 }
 
 impl Refusal {
-    /// The reason as a code.
+    /// Code of the reason.
     pub fn code(self) -> &'static str {
         match self {
             Self::NotConfigured => "not_configured",
@@ -108,7 +111,7 @@
         }
     }
 
-    /// The status. 429 and 503 promise that the request has not run and never will.
+    /// The status. 429 and 503 guarantee that the request has not run and never will.
     pub fn status(self) -> StatusCode {
         match self {
             Self::NoRoute => StatusCode::NOT_FOUND,
@@ -131,7 +134,7 @@
         }
     }
 
-    /// When another try makes sense.
+    /// Time after which a retry makes sense.
     fn retry_after(self) -> Option<Millis> {
         match self {
             Self::NotConfigured => Some(CONFIGURED_WITHIN),
@@ -153,7 +156,7 @@
         !matches!(self, Self::ResponseLost | Self::DeadlineExceededUnknown)
     }
 
-    /// The answer to the caller.
+    /// Builds the response to the caller.
     pub fn into_response(self) -> Response<GatewayBody> {
         let outcome = if self.is_not_run() { "not_run" } else { "unknown" };
         let code = self.code();
@@ -162,8 +165,8 @@
         *response.status_mut() = self.status();
         let headers = response.headers_mut();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-        if let Some(Millis(pause)) = self.retry_after() {
-            let seconds = format!("{}.{:03}", pause / 1_000, pause % 1_000);
+        if let Some(Millis(delay)) = self.retry_after() {
+            let seconds = format!("{}.{:03}", delay / 1_000, delay % 1_000);
             if let Ok(value) = HeaderValue::from_str(&seconds) {
                 headers.insert(RETRY_AFTER, value);
             }
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -1,4 +1,5 @@
-//! Passes a stream of events on to the caller, at another engine if the first one breaks off.
+//! Relays a stream of events to the caller, resuming it at another engine if the first one
+//! interrupts it.
 
 use crate::attempt::{ActiveAttempt, EngineResponse};
 use crate::body::{GatewayBody, TruncatedBody};
@@ -16,24 +17,25 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, timeout_at};
 
-/// Pieces that may wait for a slow caller.
-const PIECES_AHEAD: usize = 16;
-/// A resumable stream that has paused for this part of its gap objective is taken up elsewhere.
-const GAP_PATIENCE_PERCENT: u64 = 350;
+/// Chunks that are buffered for a slow caller.
+const MAX_BUFFERED_CHUNKS: usize = 16;
+/// Pause after which a resumable stream is resumed at another engine, in percent of its gap
+/// objective.
+const GAP_TIMEOUT_PERCENT: u64 = 350;
 
-type PieceSender = mpsc::Sender<Result<Bytes, TruncatedBody>>;
+type ChunkSender = mpsc::Sender<Result<Bytes, TruncatedBody>>;
 
-/// A stream ended before its first event.
+/// The stream ended before its first event.
 pub(crate) struct NoFirstEvent;
 
-/// A stream whose first event is here.
+/// A stream whose first event was received.
 pub(crate) struct StartedStream {
     head: response::Parts,
     source: StreamSource,
     first: Option<Event>,
 }
 
-/// An engine's stream, event by event.
+/// Splits an engine's stream into events.
 struct StreamSource {
     body: Incoming,
     headers: HeaderMap,
@@ -43,11 +45,11 @@
 
 enum NextEvent {
     Event(Event),
-    /// The stream has ended whole.
+    /// The stream ended after a complete event.
     End,
-    /// The engine has broken the stream off.
-    Broken,
-    /// The stream has paused for longer than it is waited for.
+    /// The engine interrupted the stream.
+    Interrupted,
+    /// The stream paused for longer than allowed.
     Paused,
 }
 
@@ -63,20 +65,21 @@
                         self.splitter.push(&data);
                     }
                 }
-                Some(Err(_)) => return NextEvent::Broken,
-                None if self.splitter.is_mid_event() => return NextEvent::Broken,
+                Some(Err(_)) => return NextEvent::Interrupted,
+                None if self.splitter.is_mid_event() => return NextEvent::Interrupted,
                 None => return NextEvent::End,
             }
         }
     }
 }
 
-/// Waits for the first event. Until it is here nothing has been promised to the caller.
+/// Waits for the first event. Nothing is sent to the caller before it, so the request can still be
+/// retried.
 pub(crate) async fn start_stream(
-    answer: EngineResponse,
+    response: EngineResponse,
     context: &RequestContext,
 ) -> Result<StartedStream, NoFirstEvent> {
-    let EngineResponse { head, body, attempt } = answer;
+    let EngineResponse { head, body, attempt } = response;
     let headers = head.headers.clone();
     let mut source = StreamSource { body, headers, attempt, splitter: EventSplitter::default() };
     match timeout_at(context.deadline.timer(), source.next()).await {
@@ -86,11 +89,11 @@
             Ok(StartedStream { head, source, first: Some(event) })
         }
         Ok(NextEvent::End) => Ok(StartedStream { head, source, first: None }),
-        Ok(NextEvent::Broken) => {
-            let noted =
+        Ok(NextEvent::Interrupted) => {
+            let crash_check =
                 context.on_interrupted(source.attempt.name(), InterruptionPoint::FirstEvent);
             source.attempt.finish(AttemptEnd::Broken, None);
-            noted.wait().await;
+            crash_check.wait().await;
             Err(NoFirstEvent)
         }
         Ok(NextEvent::Paused) | Err(_) => {
@@ -100,31 +103,32 @@
     }
 }
 
-/// The answer to the caller; the rest of the stream follows on a task of its own.
+/// Starts the response to the caller; a separate task relays the stream.
 pub(crate) fn respond(
     context: RequestContext,
-    begun: StartedStream,
+    started: StartedStream,
     mut progress: Progress,
 ) -> Response<GatewayBody> {
     progress.response_started = true;
-    let (sender, pieces) = mpsc::channel(PIECES_AHEAD);
-    let StartedStream { head, source, first } = begun;
-    let relay = Relay { context, progress, sender, last_event: None, event_at: Instant::now() };
+    let (sender, chunks) = mpsc::channel(MAX_BUFFERED_CHUNKS);
+    let StartedStream { head, source, first } = started;
+    let relay =
+        Relay { context, progress, sender, last_event: None, last_event_at: Instant::now() };
     tokio::task::spawn_local(relay.run(source, first));
-    build_response(head, GatewayBody::Streamed(pieces))
+    build_response(head, GatewayBody::Streamed(chunks))
 }
 
 struct Relay {
     context: RequestContext,
     progress: Progress,
-    sender: PieceSender,
+    sender: ChunkSender,
     last_event: Option<u64>,
-    /// When the last event came.
-    event_at: Instant,
+    /// When the last event was received.
+    last_event_at: Instant,
 }
 
-/// Why passing on has stopped.
-enum Stopped {
+/// Why relaying stopped.
+enum StopReason {
     CallerGone,
     DeadlineExceeded,
 }
@@ -132,17 +136,17 @@
 impl Relay {
     async fn run(mut self, mut source: StreamSource, first: Option<Event>) {
         if let Some(event) = first
-            && self.pass(event).await.is_err()
+            && self.forward_event(event).await.is_err()
         {
             return;
         }
         loop {
-            match self.next_of(&mut source).await {
-                Err(Stopped::CallerGone) => return,
-                Err(Stopped::DeadlineExceeded) => return self.break_off("time over").await,
+            match self.next_event_or_stop(&mut source).await {
+                Err(StopReason::CallerGone) => return,
+                Err(StopReason::DeadlineExceeded) => return self.fail("time over").await,
                 Ok(NextEvent::Event(event)) => {
-                    self.note_pause(&source);
-                    if self.pass(event).await.is_err() {
+                    self.record_pause(&source);
+                    if self.forward_event(event).await.is_err() {
                         return;
                     }
                 }
@@ -152,60 +156,62 @@
                     let StreamSource { headers, attempt, .. } = source;
                     return attempt.finish(AttemptEnd::Answered, Some(&headers));
                 }
-                Ok(end @ (NextEvent::Broken | NextEvent::Paused)) => {
-                    let noted = matches!(end, NextEvent::Broken).then(|| {
+                Ok(end @ (NextEvent::Interrupted | NextEvent::Paused)) => {
+                    let crash_check = matches!(end, NextEvent::Interrupted).then(|| {
                         self.context
                             .on_interrupted(source.attempt.name(), InterruptionPoint::Stream)
                     });
                     source.attempt.finish(AttemptEnd::Broken, None);
-                    if let Some(noted) = noted {
-                        noted.wait().await;
+                    if let Some(crash_check) = crash_check {
+                        crash_check.wait().await;
                     }
                     match self.resume().await {
                         Some(next) => source = next,
-                        None => return self.break_off("the engine broke off").await,
+                        None => return self.fail("the engine broke off").await,
                     }
                 }
             }
         }
     }
 
-    /// The next event, unless the caller goes away or the time is over first. A resumable stream
-    /// that pauses for too long counts as broken.
-    async fn next_of(&self, source: &mut StreamSource) -> Result<NextEvent, Stopped> {
-        let until = self.gap_until();
+    /// The next event, unless the caller disconnects or the deadline passes first. A resumable
+    /// stream that pauses for too long counts as interrupted.
+    async fn next_event_or_stop(&self, source: &mut StreamSource) -> Result<NextEvent, StopReason> {
+        let until = self.gap_deadline();
         tokio::select! {
             biased;
             next = timeout_at(until, source.next()) => match next {
                 Ok(next) => Ok(next),
-                Err(_) if until >= self.context.deadline.timer() => Err(Stopped::DeadlineExceeded),
+                Err(_) if until >= self.context.deadline.timer() => {
+                    Err(StopReason::DeadlineExceeded)
+                }
                 Err(_) => Ok(NextEvent::Paused),
             },
-            () = self.sender.closed() => Err(Stopped::CallerGone),
+            () = self.sender.closed() => Err(StopReason::CallerGone),
         }
     }
 
-    fn gap_until(&self) -> Instant {
+    fn gap_deadline(&self) -> Instant {
         let route = &self.context.route;
         let attempts_left = (self.progress.tried.len() as u32) < route.max_attempts;
         if !route.kind.may_retry() || !attempts_left {
             return self.context.deadline.timer();
         }
         let objective = Duration::from_millis(self.context.gap_objective().0);
-        let patience = objective * GAP_PATIENCE_PERCENT as u32 / 100;
-        self.context.deadline.timer().min(Instant::now() + patience)
+        let gap_timeout = objective * GAP_TIMEOUT_PERCENT as u32 / 100;
+        self.context.deadline.timer().min(Instant::now() + gap_timeout)
     }
 
-    fn note_pause(&mut self, source: &StreamSource) {
-        let pause = self.event_at.elapsed();
-        self.event_at = Instant::now();
+    fn record_pause(&mut self, source: &StreamSource) {
+        let pause = self.last_event_at.elapsed();
+        self.last_event_at = Instant::now();
         if pause.as_millis() as u64 > self.context.gap_objective().0 {
             decision_log::long_pause(&self.context, &source.attempt, pause);
         }
     }
 
-    /// Passes an event on. An engine that takes a stream up may repeat events that are here.
-    async fn pass(&mut self, event: Event) -> Result<(), Stopped> {
+    /// Forwards an event. An engine that resumes a stream may resend events, which are skipped.
+    async fn forward_event(&mut self, event: Event) -> Result<(), StopReason> {
         if event.id.is_some() && event.id <= self.last_event {
             return Ok(());
         }
@@ -214,30 +220,30 @@
         let sending = self.sender.send(Ok(event.bytes));
         match timeout_at(self.context.deadline.timer(), sending).await {
             Ok(Ok(())) => Ok(()),
-            Ok(Err(_)) => Err(Stopped::CallerGone),
-            Err(_) => Err(Stopped::DeadlineExceeded),
+            Ok(Err(_)) => Err(StopReason::CallerGone),
+            Err(_) => Err(StopReason::DeadlineExceeded),
         }
     }
 
-    /// Takes the stream up at another engine after the last event that was passed on.
+    /// Resumes the stream at another engine after the last event that was forwarded.
     async fn resume(&mut self) -> Option<StreamSource> {
         let last_event = self.last_event?;
         self.progress.may_have_run = true;
         self.context.router.metrics.on_resumed();
         while self.context.may_retry(&self.progress) {
-            let chosen = self.context.select_engine(&self.progress).await?;
+            let selected = self.context.select_engine(&self.progress).await?;
             log::info!(
                 request = self.context.payload.caller.id.as_str(),
-                engine = chosen.choice.engine.notice.engine.as_str(),
+                engine = selected.choice.engine.notice.engine.as_str(),
                 last_event = last_event;
-                "stream taken up"
+                "resuming stream at another engine"
             );
-            let attempt = self.context.attempt(chosen, &mut self.progress, Some(last_event));
-            let answer = tokio::select! {
-                answer = attempt => answer,
+            let attempt = self.context.attempt(selected, &mut self.progress, Some(last_event));
+            let response = tokio::select! {
+                response = attempt => response,
                 () = self.sender.closed() => return None,
             };
-            if let Some(EngineResponse { head, body, attempt }) = answer {
+            if let Some(EngineResponse { head, body, attempt }) = response {
                 if head.status != hyper::StatusCode::OK {
                     attempt.finish(AttemptEnd::EngineError, None);
                     continue;
@@ -254,80 +260,80 @@
         None
     }
 
-    async fn break_off(self, reason: &str) {
+    async fn fail(self, reason: &str) {
         self.context.router.metrics.on_interrupted();
         log::info!(
             request = self.context.payload.caller.id.as_str(),
             reason = reason;
             "stream broken off"
         );
-        // The caller may have gone meanwhile.
+        // The caller may have disconnected.
         let _ = self.sender.send(Err(TruncatedBody)).await;
     }
 }
 
-/// An answer that is too large to be gathered.
+/// A response that is too large to be buffered.
 pub(crate) struct LargeResponse {
     pub head: response::Parts,
-    /// What has come in.
+    /// The part of the body that was received so far.
     pub start: Bytes,
     pub body: Incoming,
     pub attempt: ActiveAttempt,
 }
 
-/// How passing on a large answer has ended.
-enum PassedOn {
-    Whole,
-    /// The engine has broken it off.
-    Broken,
+/// Outcome of relaying a large response.
+enum RelayOutcome {
+    Complete,
+    /// The engine interrupted it.
+    Interrupted,
     CallerGone,
 }
 
-/// Passes on a large answer; its rest follows on a task of its own.
+/// Relays a large response; a separate task forwards the remainder.
 pub(crate) fn forward_large(
     context: RequestContext,
-    answer: LargeResponse,
+    response: LargeResponse,
 ) -> Response<GatewayBody> {
-    let (sender, pieces) = mpsc::channel(PIECES_AHEAD);
-    let LargeResponse { head, start, body, attempt } = answer;
+    let (sender, chunks) = mpsc::channel(MAX_BUFFERED_CHUNKS);
+    let LargeResponse { head, start, body, attempt } = response;
     let failed = head.status.is_server_error();
     tokio::task::spawn_local(async move {
-        let passing = timeout_at(context.deadline.timer(), pass_rest(&sender, start, body));
-        let passed = tokio::select! {
-            passed = passing => passed,
+        let forwarding = timeout_at(context.deadline.timer(), forward_body(&sender, start, body));
+        let outcome = tokio::select! {
+            outcome = forwarding => outcome,
             () = sender.closed() => return,
         };
-        match passed {
-            Ok(PassedOn::Whole) => {
+        match outcome {
+            Ok(RelayOutcome::Complete) => {
                 if !failed {
                     context.on_request_succeeded();
                 }
                 return attempt.finish(AttemptEnd::Answered, None);
             }
-            Ok(PassedOn::CallerGone) => return,
-            Ok(PassedOn::Broken) => {
+            Ok(RelayOutcome::CallerGone) => return,
+            Ok(RelayOutcome::Interrupted) => {
                 context.on_interrupted(attempt.name(), InterruptionPoint::Body).wait().await
             }
             Err(_) => {}
         }
-        // The caller may have gone meanwhile.
+        // The caller may have disconnected.
         let _ = sender.send(Err(TruncatedBody)).await;
     });
-    build_response(head, GatewayBody::Streamed(pieces))
+    build_response(head, GatewayBody::Streamed(chunks))
 }
 
-async fn pass_rest(sender: &PieceSender, start: Bytes, mut body: Incoming) -> PassedOn {
-    let mut piece = Some(start);
+async fn forward_body(sender: &ChunkSender, start: Bytes, mut body: Incoming) -> RelayOutcome {
+    let mut chunk = Some(start);
     loop {
-        if let Some(data) = piece.take()
+        if let Some(data) = chunk.take()
             && sender.send(Ok(data)).await.is_err()
         {
-            return PassedOn::CallerGone;
+            return RelayOutcome::CallerGone;
         }
         match body.frame().await {
-            Some(Ok(frame)) => piece = frame.into_data().ok(),
-            Some(Err(_)) => return PassedOn::Broken,
-            None => return PassedOn::Whole,
+            Some(Ok(frame)) => chunk = frame.into_data().ok(),
+            Some(Err(_)) => return RelayOutcome::Interrupted,
+            None => return RelayOutcome::Complete,
         }
     }
 }
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -1,4 +1,4 @@
-//! Sees one request through to the head of its answer.
+//! Handles one request up to the head of its response.
 
 use crate::attempt::{
     self, AttemptResult, EngineResponse, Payload, SelectedEngine, strip_connection_headers,
@@ -25,23 +25,23 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// Part of the objective after which a repeatable request is tried at another engine, if half of
-/// its time is not over sooner.
-const PATIENCE_PERCENT: u64 = 220;
-/// Longest wait for tokens, as a part of the objective: a refusal that comes later costs more
-/// than it saves.
+/// Time to wait for the head of a response before an idempotent request is tried at another engine,
+/// in percent of the objective. Half of the time left applies if it is shorter.
+const HEAD_TIMEOUT_PERCENT: u64 = 220;
+/// Longest wait for tokens, in percent of the objective: a later refusal costs more than the wait
+/// saves.
 const TOKEN_WAIT_PERCENT: u64 = 22;
-/// Engines that may be tried without reaching any of them.
-const MOST_UNREACHABLE: u32 = 4;
-/// Largest answer that is gathered before it is passed on.
+/// Connection failures after which a request is not retried.
+const MAX_UNREACHABLE: u32 = 4;
+/// Largest response that is buffered before it is forwarded.
 pub(crate) const BUFFER_LIMIT_BYTES: usize = 256 * 1024;
-/// Wait of callers that do not say how long they wait.
+/// Timeout of requests whose caller states none.
 const DEFAULT_WAIT: Millis = Millis(15_000);
 
-/// Gap objective of routes that name none.
-const DEFAULT_GAP: Millis = Millis(1_000);
+/// Gap objective of routes that configure none.
+const DEFAULT_GAP_OBJECTIVE: Millis = Millis(1_000);
 
-/// Everything about a request that stays the same over its attempts.
+/// State of a request that is shared by its attempts.
 pub(crate) struct RequestContext {
     pub router: Rc<Router>,
     pub table: Rc<RouteTable>,
@@ -50,42 +50,41 @@
     pub service: ServiceName,
     pub payload: Payload,
     pub reservation: Option<Reservation>,
-    /// When the time for the request is over.
     pub deadline: Deadline,
     pub arrived: Instant,
-    /// How long it may still wait for a permit, over all its attempts.
+    /// Time left to wait for permits, over all attempts.
     pub permit_wait_left: Cell<Duration>,
 }
 
-/// What the attempts of a request have led to so far.
+/// Outcome of the attempts so far.
 #[derive(Default)]
 pub(crate) struct Progress {
     /// Engines that the request was sent to.
     pub tried: Vec<BackEndName>,
     /// Engines that could not be reached.
     pub unreachable: Vec<BackEndName>,
-    /// Whether an engine may have run it.
     pub may_have_run: bool,
-    /// Whether the caller has had the beginning of an answer.
+    /// Whether the caller has received the beginning of a response.
     pub response_started: bool,
-    /// An engine's own failure, given to the caller if nothing better comes.
+    /// An engine's error response, returned to the caller if no later attempt succeeds.
     pub failure: Option<BufferedResponse>,
 }
 
 impl Progress {
-    /// Engines that are not to be asked again, reached or not.
+    /// Engines that further attempts skip, whether they were reached or not.
     pub fn excluded_engines(&self) -> Vec<BackEndName> {
         self.tried.iter().chain(&self.unreachable).cloned().collect()
     }
 }
 
-/// An engine's answer that has come in whole.
+/// A complete response of an engine.
 pub(crate) struct BufferedResponse {
     head: hyper::http::response::Parts,
     body: Bytes,
 }
 
-/// Answers one request. Dropped when the caller goes away, which ends whatever is under way.
+/// Serves one request. The future is dropped when the caller disconnects, which cancels the attempt
+/// in progress.
 pub(crate) async fn serve(router: Rc<Router>, request: Request<Incoming>) -> Response<GatewayBody> {
     let arrived = Instant::now();
     let (head, body) = request.into_parts();
@@ -97,14 +96,14 @@
         }
     };
     let id = caller.id.clone();
-    let recorded_by = router.clone();
-    match answer(router, head, body, caller, arrived).await {
+    let metrics_router = router.clone();
+    match handle(router, head, body, caller, arrived).await {
         Ok(response) => {
-            recorded_by.metrics.on_response(arrived.elapsed());
+            metrics_router.metrics.on_response(arrived.elapsed());
             response
         }
         Err(refusal) => {
-            recorded_by.metrics.on_refusal(refusal);
+            metrics_router.metrics.on_refusal(refusal);
             log::info!(
                 request = id.as_str(),
                 reason = refusal.code(),
@@ -117,7 +116,7 @@
     }
 }
 
-async fn answer(
+async fn handle(
     router: Rc<Router>,
     head: request::Parts,
     body: Incoming,
@@ -134,8 +133,8 @@
     let deadline =
         Deadline::after(Duration::from_millis(wait.0.min(route.timeout.0)), router.clock.clone());
     let limit = table.config().limits.max_body_bytes;
-    let reading = timeout_at(deadline.timer(), read_body(body, limit));
-    let body = reading.await.map_err(|_| Refusal::DeadlineExceeded)??;
+    let read = timeout_at(deadline.timer(), read_body(body, limit));
+    let body = read.await.map_err(|_| Refusal::DeadlineExceeded)??;
     let service = route.service_for(&caller.id).clone();
     router.retry_budget.borrow_mut().note_request(router.now(), &service);
     let mut headers = head.headers;
@@ -161,7 +160,7 @@
     context.refuse_if_shed()?;
     context.refuse_if_rate_limited()?;
     context.reservation = context.reserve().await?;
-    // The wait for tokens may have outlasted the news that the request ends engines.
+    // A quarantine notice may have arrived during the wait for tokens.
     context.refuse_if_quarantined()?;
     context.run().await
 }
@@ -173,16 +172,16 @@
     key: Option<&str>,
 ) -> Result<(&'a Route, Option<&'a Tenant>), Refusal> {
     let host = host(&head.uri, &head.headers);
-    let final_only_in_touch =
-        |refusal| if router.in_touch() { refusal } else { Refusal::ConfigMayBeStale };
+    let stale_unless_connected =
+        |refusal| if router.is_connected_to_leader() { refusal } else { Refusal::ConfigMayBeStale };
     match table.admit(host, head.uri.path(), key) {
-        Admission::NoRoute => Err(final_only_in_touch(Refusal::NoRoute)),
-        Admission::UnknownKey => Err(final_only_in_touch(Refusal::UnknownKey)),
+        Admission::NoRoute => Err(stale_unless_connected(Refusal::NoRoute)),
+        Admission::UnknownKey => Err(stale_unless_connected(Refusal::UnknownKey)),
         Admission::Admitted { route, tenant } => Ok((route, tenant)),
     }
 }
 
-/// The host that a request names.
+/// The host of a request: from the URI, else from the `Host` header.
 pub(crate) fn host<'a>(uri: &'a Uri, headers: &'a HeaderMap) -> &'a str {
     let from_header = || headers.get(header::HOST).and_then(|value| value.to_str().ok());
     uri.host().or_else(from_header).unwrap_or_default()
@@ -206,18 +205,18 @@
 }
 
 impl RequestContext {
-    /// How urgent the request is; 0 is the highest.
+    /// Priority of the request; 0 is the highest.
     pub fn priority(&self) -> u32 {
-        let of_tenant = self.tenant.as_ref().and_then(|tenant| tenant.priority);
-        of_tenant.unwrap_or(self.route.priority)
+        let tenant_priority = self.tenant.as_ref().and_then(|tenant| tenant.priority);
+        tenant_priority.unwrap_or(self.route.priority)
     }
 
-    /// A number that differs from request to request.
+    /// Hash of the request id, used to break ties and to spread retries.
     pub fn request_hash(&self) -> u64 {
         Digest::of(&[self.payload.caller.id.as_bytes()]).to_u64()
     }
 
-    /// Sets aside the tokens that the request may cost, if its tenant has a budget.
+    /// Reserves the tokens that the request may cost, if its tenant has a budget.
     async fn reserve(&self) -> Result<Option<Reservation>, Refusal> {
         let Some(generation) = self.payload.caller.generation else {
             return Ok(None);
@@ -225,25 +224,25 @@
         let Some(tenant) = self.tenant.as_ref().filter(|tenant| tenant.prepaid.is_some()) else {
             return Ok(None);
         };
-        let order = ReservationRequest {
+        let request = ReservationRequest {
             request: &self.payload.caller.id,
             generation,
             tokens_per_event: self.tokens_per_event(),
         };
         let wait = Duration::from_millis(self.route.objective.0 * TOKEN_WAIT_PERCENT / 100);
         let wait_until = self.deadline.timer().min(self.arrived + wait);
-        Reservation::make(&self.router, &tenant.name, order, wait_until)
+        Reservation::make(&self.router, &tenant.name, request, wait_until)
             .await
-            .map_err(|refusal| self.out_of_reach(refusal))
+            .map_err(|refusal| self.refusal_when_disconnected(refusal))
             .map(Some)
     }
 
-    /// Out of touch nobody knows whether the budget is exhausted, and there is more to come only
-    /// with the leader.
-    fn out_of_reach(&self, refusal: Refusal) -> Refusal {
-        let out_of_touch = !self.router.in_touch();
+    /// While disconnected from the leader it is unknown whether the budget is exhausted, and only
+    /// the leader can allot more.
+    fn refusal_when_disconnected(&self, refusal: Refusal) -> Refusal {
+        let is_disconnected = !self.router.is_connected_to_leader();
         match refusal {
-            Refusal::BudgetExhausted if out_of_touch => Refusal::BudgetUnavailable,
+            Refusal::BudgetExhausted if is_disconnected => Refusal::BudgetUnavailable,
             other => other,
         }
     }
@@ -257,25 +256,25 @@
     async fn run(self) -> Result<Response<GatewayBody>, Refusal> {
         let mut progress = Progress::default();
         loop {
-            let Some(chosen) = self.select_engine(&progress).await else {
+            let Some(selected) = self.select_engine(&progress).await else {
                 return self.give_up(progress);
             };
-            let Some(answer) = self.attempt(chosen, &mut progress, None).await else {
+            let Some(response) = self.attempt(selected, &mut progress, None).await else {
                 if self.may_retry(&progress) {
                     continue;
                 }
                 return self.give_up(progress);
             };
-            if is_event_stream(&answer) {
-                match relay::start_stream(answer, &self).await {
-                    Ok(begun) => return Ok(relay::respond(self, begun, progress)),
+            if is_event_stream(&response) {
+                match relay::start_stream(response, &self).await {
+                    Ok(started) => return Ok(relay::respond(self, started, progress)),
                     Err(relay::NoFirstEvent) => progress.may_have_run = true,
                 }
             } else {
-                match self.gather(answer, &mut progress).await {
-                    Gathered::Final(response) => return Ok(response),
-                    Gathered::Large(answer) => return Ok(relay::forward_large(self, *answer)),
-                    Gathered::Failed => {}
+                match self.buffer_response(response, &mut progress).await {
+                    BufferOutcome::Final(response) => return Ok(response),
+                    BufferOutcome::Large(large) => return Ok(relay::forward_large(self, *large)),
+                    BufferOutcome::Failed => {}
                 }
             }
             if !self.may_retry(&progress) {
@@ -284,17 +283,17 @@
         }
     }
 
-    /// Sends the request to an engine. `None` if no answer will come of it.
+    /// Sends the request to an engine. `None` if the attempt yields no response.
     pub async fn attempt(
         &self,
-        chosen: SelectedEngine,
+        selected: SelectedEngine,
         progress: &mut Progress,
         last_event: Option<u64>,
     ) -> Option<EngineResponse> {
-        let name = chosen.choice.engine.notice.engine.clone();
+        let name = selected.choice.engine.notice.engine.clone();
         let wait = Millis(self.deadline.remaining().as_millis() as u64);
         let tenant = self.tenant.as_ref();
-        let addressing = EngineRequestHeaders {
+        let engine_headers = EngineRequestHeaders {
             engine: &name,
             tenant: tenant.map(|tenant| &tenant.name),
             wait,
@@ -309,18 +308,18 @@
         };
         let result = attempt::send(
             &self.router,
-            chosen,
+            selected,
             &self.payload,
-            &addressing,
+            &engine_headers,
             !self.route.kind.may_retry(),
-            self.head_until(progress),
+            self.head_deadline(progress),
             on_sent,
         )
         .await;
         match result {
-            AttemptResult::Answered(answer) => {
+            AttemptResult::Answered(response) => {
                 progress.tried.push(name);
-                return Some(*answer);
+                return Some(*response);
             }
             AttemptResult::Unreachable => progress.unreachable.push(name),
             AttemptResult::NotRun => progress.tried.push(name),
@@ -340,69 +339,76 @@
         None
     }
 
-    /// How long to wait for the head of an answer. A repeatable request is tried elsewhere before
-    /// its time is over, as long as another attempt is allowed.
-    fn head_until(&self, progress: &Progress) -> Instant {
-        let last = progress.tried.len() as u32 + 1 >= self.route.max_attempts;
-        if last || !self.route.kind.may_retry() {
+    /// Until when to wait for the head of a response. An idempotent request is tried at another
+    /// engine before its deadline, as long as another attempt is allowed.
+    fn head_deadline(&self, progress: &Progress) -> Instant {
+        let is_last_attempt = progress.tried.len() as u32 + 1 >= self.route.max_attempts;
+        if is_last_attempt || !self.route.kind.may_retry() {
             return self.deadline.timer();
         }
         let now = Instant::now();
-        let patience = Duration::from_millis(self.route.objective.0 * PATIENCE_PERCENT / 100);
+        let head_timeout =
+            Duration::from_millis(self.route.objective.0 * HEAD_TIMEOUT_PERCENT / 100);
         let half = self.deadline.remaining() / 2;
-        now + patience.min(half)
+        now + head_timeout.min(half)
     }
 
-    /// Longest pause between events at which a stream of this route is in time.
+    /// Longest acceptable pause between two events of a stream of this route.
     pub fn gap_objective(&self) -> Millis {
-        self.route.gap_objective.unwrap_or(DEFAULT_GAP)
+        self.route.gap_objective.unwrap_or(DEFAULT_GAP_OBJECTIVE)
     }
 
-    /// Whether another attempt is allowed and makes sense. Counts it if so.
+    /// Whether another attempt is allowed and can succeed. Counts it against the retry budget if
+    /// so.
     pub fn may_retry(&self, progress: &Progress) -> bool {
         if progress.may_have_run && !self.route.kind.may_retry() {
             return false;
         }
         if self.deadline.is_expired()
             || self.is_quarantined()
-            || progress.unreachable.len() as u32 >= MOST_UNREACHABLE
+            || progress.unreachable.len() as u32 >= MAX_UNREACHABLE
             || progress.tried.len() as u32 >= self.route.max_attempts
         {
             return false;
         }
-        let arrives_again = !progress.tried.is_empty();
-        !arrives_again
+        let is_retry = !progress.tried.is_empty();
+        !is_retry
             || self.router.retry_budget.borrow_mut().try_retry(self.router.now(), &self.service)
     }
 
-    /// The final answer of a request that no engine answers any more.
+    /// The final response of a request for which no further attempt is made.
     fn give_up(&self, mut progress: Progress) -> Result<Response<GatewayBody>, Refusal> {
         if let Some(failure) = progress.failure.take() {
             return Ok(failure.into_response());
         }
-        let time_is_over = self.deadline.is_expired();
-        if !progress.may_have_run && !time_is_over {
-            // The engines that were asked may have been the last ones that did not rest.
+        let is_expired = self.deadline.is_expired();
+        if !progress.may_have_run && !is_expired {
+            // The engines that were tried may have been the last ones that had not asked for a
+            // backoff.
             self.refuse_if_unservable()?;
             self.refuse_if_rate_limited()?;
         }
-        Err(match (progress.may_have_run, time_is_over) {
+        Err(match (progress.may_have_run, is_expired) {
             (true, true) => Refusal::DeadlineExceededUnknown,
             (true, false) => Refusal::ResponseLost,
             (false, true) => Refusal::DeadlineExceeded,
             (false, false) if progress.tried.is_empty() && !progress.unreachable.is_empty() => {
                 Refusal::Unreachable
             }
-            // An engine may be asked, so all of those were, or none had a free slot.
+            // Some engine is available, so all of those were tried, or none had a free slot.
             (false, false) => Refusal::EnginesFull,
         })
     }
 
-    /// Gathers an answer that is no stream, so that one that breaks off can be replaced.
-    async fn gather(&self, answer: EngineResponse, progress: &mut Progress) -> Gathered {
-        let EngineResponse { head, mut body, attempt } = answer;
+    /// Buffers a response that is not a stream, so that an interrupted one can be retried.
+    async fn buffer_response(
+        &self,
+        response: EngineResponse,
+        progress: &mut Progress,
+    ) -> BufferOutcome {
+        let EngineResponse { head, mut body, attempt } = response;
         let mut buffered = BytesMut::new();
-        let reading = async {
+        let read = async {
             while let Some(frame) = body.frame().await {
                 if let Ok(data) = frame.map_err(|_| ())?.into_data() {
                     buffered.extend_from_slice(&data);
@@ -413,23 +419,28 @@
             }
             Ok::<bool, ()>(true)
         };
-        match timeout_at(self.deadline.timer(), reading).await {
+        match timeout_at(self.deadline.timer(), read).await {
             Ok(Ok(true)) => {}
             Ok(Ok(false)) => {
                 let start = buffered.freeze();
-                return Gathered::Large(Box::new(LargeResponse { head, start, body, attempt }));
+                return BufferOutcome::Large(Box::new(LargeResponse {
+                    head,
+                    start,
+                    body,
+                    attempt,
+                }));
             }
             Ok(Err(())) => {
-                let noted = self.on_interrupted(attempt.name(), InterruptionPoint::Body);
+                let crash_check = self.on_interrupted(attempt.name(), InterruptionPoint::Body);
                 attempt.finish(AttemptEnd::Broken, None);
-                noted.wait().await;
+                crash_check.wait().await;
                 progress.may_have_run = true;
-                return Gathered::Failed;
+                return BufferOutcome::Failed;
             }
             Err(_) => {
                 attempt.finish(AttemptEnd::Broken, None);
                 progress.may_have_run = true;
-                return Gathered::Failed;
+                return BufferOutcome::Failed;
             }
         }
         let failed = head.status.is_server_error();
@@ -439,19 +450,19 @@
         if failed {
             progress.may_have_run = true;
             progress.failure = Some(buffered);
-            return Gathered::Failed;
+            return BufferOutcome::Failed;
         }
         self.on_request_succeeded();
-        Gathered::Final(buffered.into_response())
+        BufferOutcome::Final(buffered.into_response())
     }
 }
 
-enum Gathered {
-    /// The answer for the caller.
+enum BufferOutcome {
+    /// The complete response.
     Final(Response<GatewayBody>),
-    /// The answer for the caller, of which more is to come.
+    /// A response above the buffer limit, whose remainder is to be forwarded.
     Large(Box<LargeResponse>),
-    /// The attempt has failed; the engine's own failure, if any, is kept.
+    /// The attempt has failed; an error response of the engine is kept in [`Progress::failure`].
     Failed,
 }
 
@@ -461,7 +472,7 @@
     }
 }
 
-/// The engine's head with another body.
+/// Combines the head of an engine's response with a new body.
 pub(crate) fn build_response(
     mut head: hyper::http::response::Parts,
     body: GatewayBody,
@@ -472,8 +483,8 @@
     Response::from_parts(head, body)
 }
 
-fn is_event_stream(answer: &EngineResponse) -> bool {
-    let content_type = answer.head.headers.get(header::CONTENT_TYPE);
-    answer.head.status == StatusCode::OK
+fn is_event_stream(response: &EngineResponse) -> bool {
+    let content_type = response.head.headers.get(header::CONTENT_TYPE);
+    response.head.status == StatusCode::OK
         && content_type.is_some_and(|value| value.as_bytes().starts_with(b"text/event-stream"))
 }
