--- a/crates/gateway/src/reservation.rs
+++ b/crates/gateway/src/reservation.rs
@@ -1,4 +1,4 @@
-//! Tokens set aside for one request, or for one of another router.
+//! Tokens reserved for one request, or for a request of another router.
 
 use crate::decision_log;
 use crate::header_codec::Generation;
@@ -13,66 +13,65 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep_until, timeout_at};
 
-/// Tokens of a tenant's budget that a request may cost. What it did cost is settled when this is
-/// dropped, however the request ends.
+/// Tokens of a tenant's budget that a request may cost. The actual cost is settled on drop, however
+/// the request ends.
 pub(crate) struct Reservation {
     router: Rc<Router>,
     tenant: TenantName,
     generation: Generation,
     tokens_per_event: u64,
     events: Cell<u64>,
-    /// Set if another router has reserved the tokens.
+    /// Set if another router reserved the tokens.
     loan: Option<Loan>,
     usage: Cell<Usage>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Usage {
-    /// No engine has begun to work on it.
+    /// No engine has started the request.
     None,
-    /// An engine may have handed out more than was seen here.
+    /// An engine may have generated more than was received here.
     Uncertain,
-    /// The answer came in whole.
+    /// The response was received completely.
     Counted,
 }
 
 impl Reservation {
-    /// Sets aside the most that `generation` can cost: at the router that keeps the zone's account of the tenant, or
-    /// here if that is this one. If too little is held, the request waits until `wait_until` at most.
+    /// Reserves the maximum cost of the generation: at the router that owns the zone's account of
+    /// the tenant, or here if this router does. If too few tokens are available, the request waits
+    /// until `wait_until` at most.
     pub async fn make(
         router: &Rc<Router>,
         tenant: &TenantName,
-        order: ReservationRequest<'_>,
+        request: ReservationRequest<'_>,
         wait_until: Instant,
     ) -> Result<Self, Refusal> {
-        let loan = order.set_aside(router, tenant, wait_until).await?;
+        let loan = request.reserve(router, tenant, wait_until).await?;
         Ok(Self {
             router: router.clone(),
             tenant: tenant.clone(),
-            generation: order.generation,
-            tokens_per_event: order.tokens_per_event,
+            generation: request.generation,
+            tokens_per_event: request.tokens_per_event,
             events: Cell::new(0),
             loan,
             usage: Cell::new(Usage::None),
         })
     }
 
-    /// An engine may begin to work on the request.
+    /// An engine may start the request.
     pub fn on_sent(&self) {
         self.usage.set(Usage::Uncertain);
     }
 
-    /// It is certain that no engine has worked on the request.
+    /// It is certain that no engine ran the request.
     pub fn on_not_run(&self) {
         self.usage.set(Usage::None);
     }
 
-    /// An event of the answer has come in.
     pub fn on_event(&self) {
         self.events.set(self.events.get() + 1);
     }
 
-    /// The answer has come in whole.
     pub fn on_complete(&self) {
         self.usage.set(Usage::Counted);
     }
@@ -105,19 +104,18 @@
     }
 }
 
-/// What a request wants to be set aside.
+/// A request for a reservation.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ReservationRequest<'a> {
-    /// The request's id, for logs.
+    /// The request id, for log lines.
     pub request: &'a str,
-    /// What it generates.
     pub generation: Generation,
-    /// Tokens that one event of its answer holds.
+    /// Tokens per event of the response.
     pub tokens_per_event: u64,
 }
 
 impl ReservationRequest<'_> {
-    async fn set_aside(
+    async fn reserve(
         &self,
         router: &Router,
         tenant: &TenantName,
@@ -129,14 +127,14 @@
             match borrow(router, tenant, amount, lenders, wait_until).await {
                 LoanOutcome::Lent(loan) => return Ok(Some(loan)),
                 LoanOutcome::NotCovered => {
-                    self.log_unpaid(router, tenant, "owner");
+                    self.log_insufficient(router, tenant, "owner");
                     return Err(Refusal::BudgetExhausted);
                 }
                 LoanOutcome::NoLender => {}
             }
         }
         if !router.may_reserve(tenant, amount) {
-            self.log_unpaid(router, tenant, "scarce");
+            self.log_insufficient(router, tenant, "scarce");
             return Err(Refusal::BudgetExhausted);
         }
         let first = router.wallet.borrow_mut().reserve(router.now(), tenant, amount);
@@ -144,10 +142,10 @@
             return Ok(None);
         }
         let waited = wait_for_tokens(router, tenant, amount, wait_until).await;
-        waited.inspect_err(|_| self.log_unpaid(router, tenant, "wallet"))
+        waited.inspect_err(|_| self.log_insufficient(router, tenant, "wallet"))
     }
 
-    fn log_unpaid(&self, router: &Router, tenant: &TenantName, step: &str) {
+    fn log_insufficient(&self, router: &Router, tenant: &TenantName, step: &str) {
         decision_log::insufficient_budget(
             router,
             self.request,
@@ -158,13 +156,14 @@
     }
 }
 
-/// Time after which routers that had nothing to lend are asked again: one that is in touch may have
-/// got something from the leader.
+/// Delay before routers that had nothing to lend are asked again: one that is connected to the
+/// leader may have received an allotment since.
 const ASK_AGAIN_AFTER: Duration = Duration::from_millis(110);
-/// Longest time between two tries while a request waits for tokens.
+/// Longest interval between two reservation attempts while a request waits for tokens.
 const RETRY_INTERVAL: Duration = Duration::from_millis(60);
-/// Part of a borrower's wait, in percent, after which the lender answers whatever it has: the rest is for the way.
-const ANSWER_AFTER_PERCENT: u64 = 85;
+/// Part of a borrower's wait after which the lender replies with what it has, in percent; the
+/// remainder is left for the reply's transmission.
+const REPLY_AFTER_PERCENT: u64 = 85;
 
 async fn borrow(
     router: &Router,
@@ -175,11 +174,12 @@
 ) -> LoanOutcome {
     let wait = wait_until.saturating_duration_since(Instant::now());
     let until = router.now() + Millis(wait.as_millis() as u64);
-    let asking = router.loan_handle.ask(tenant, amount, lenders, until);
-    timeout_at(wait_until, asking).await.unwrap_or(LoanOutcome::NotCovered)
+    let borrowing = router.loan_handle.ask(tenant, amount, lenders, until);
+    timeout_at(wait_until, borrowing).await.unwrap_or(LoanOutcome::NotCovered)
 }
 
-/// Waits until the wallet covers a request, or out of touch until another router lends.
+/// Waits until the wallet covers a request, or while disconnected from the leader until another
+/// router lends.
 async fn wait_for_tokens(
     router: &Router,
     tenant: &TenantName,
@@ -190,10 +190,10 @@
         if Instant::now() >= wait_until {
             return Err(Refusal::BudgetExhausted);
         }
-        if router.in_touch() {
+        if router.is_connected_to_leader() {
             wait_for_leader(router, wait_until).await;
         } else {
-            // Out of touch the leader can't hand out more, but other routers may have some.
+            // The leader can't be reached to allot more, but other routers may have tokens left.
             let lenders = router.remote_token_lenders(tenant);
             let outcome = borrow(router, tenant, amount, lenders, wait_until).await;
             if let LoanOutcome::Lent(loan) = outcome {
@@ -201,26 +201,27 @@
             }
             sleep_until(wait_until.min(Instant::now() + ASK_AGAIN_AFTER)).await;
         }
-        if covers(router, tenant, amount) {
+        if try_reserve(router, tenant, amount) {
             return Ok(None);
         }
     }
 }
 
-/// Tells the leader that a request waits, and waits until the wallet has grown, or for a while.
+/// Notifies the leader that a request waits, and waits until the wallet has grown, at most
+/// [`RETRY_INTERVAL`].
 async fn wait_for_leader(router: &Router, wait_until: Instant) {
-    let grown = router.wallet_refilled.notified();
+    let refilled = router.wallet_refilled.notified();
     router.wallet_insufficient.notify_one();
-    let next_try = wait_until.min(Instant::now() + RETRY_INTERVAL);
-    // Whether it was rung or not, the wallet decides.
-    let _ = timeout_at(next_try, grown).await;
+    let next_attempt = wait_until.min(Instant::now() + RETRY_INTERVAL);
+    // The wallet decides, whether a notification or the timeout ended the wait.
+    let _ = timeout_at(next_attempt, refilled).await;
 }
 
-fn covers(router: &Router, tenant: &TenantName, amount: Tokens) -> bool {
+fn try_reserve(router: &Router, tenant: &TenantName, amount: Tokens) -> bool {
     router.wallet.borrow_mut().retry_reserve(router.now(), tenant, amount).is_ok()
 }
 
-/// Sets tokens aside for a request of another router, which waits so long.
+/// Reserves tokens for a request of another router, which waits at most `wait`.
 pub(crate) async fn lend(
     router: &Router,
     tenant: &TenantName,
@@ -234,13 +235,17 @@
     if first.is_ok() {
         return BorrowAnswer::Lent;
     }
-    let wait = Duration::from_millis(wait.0 * ANSWER_AFTER_PERCENT / 100);
+    let wait = Duration::from_millis(wait.0 * REPLY_AFTER_PERCENT / 100);
     let wait_until = Instant::now() + wait;
-    while router.in_touch() && Instant::now() < wait_until {
+    while router.is_connected_to_leader() && Instant::now() < wait_until {
         wait_for_leader(router, wait_until).await;
-        if covers(router, tenant, amount) {
+        if try_reserve(router, tenant, amount) {
             return BorrowAnswer::Lent;
         }
     }
-    if router.in_touch() { BorrowAnswer::NotCovered } else { BorrowAnswer::AskAnother }
+    if router.is_connected_to_leader() {
+        BorrowAnswer::NotCovered
+    } else {
+        BorrowAnswer::AskAnother
+    }
 }
--- a/crates/gateway/src/router.rs
+++ b/crates/gateway/src/router.rs
@@ -1,4 +1,4 @@
-//! What a router knows, shared by all its requests.
+//! The state of a router, shared by all its requests.
 
 use crate::congestion::Congestion;
 use crate::connection_pool::ConnectionPool;
@@ -25,29 +25,31 @@
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 
-/// Silence of the leader after which a router counts itself out of touch.
-const TOUCH_LIMIT: Millis = Millis(750);
-/// A router that has met no leader for so long takes a configuration that none has confirmed.
-const UNCONFIRMED_AFTER: Millis = Millis(1_500);
-/// A router that has been out of touch for so long since its start takes callers all the same.
-const ALONE_AFTER: Duration = Duration::from_secs(8);
-/// A stopping router takes requests for so long.
-const LAST_REQUESTS: Duration = Duration::from_millis(2_900);
-/// Routers assumed while control has not told their number.
-const ROUTERS_ASSUMED: u64 = 8;
-
-/// How a router is run.
+/// Silence of the leader after which a router counts as disconnected from it.
+const LEADER_CONTACT_TIMEOUT: Millis = Millis(750);
+/// Time without any leader contact after which a router uses a configuration that no leader has
+/// confirmed.
+const UNCONFIRMED_CONFIG_AFTER: Millis = Millis(1_500);
+/// Time after its start at which a router that is still disconnected from the leader accepts
+/// callers anyway.
+const SERVE_DISCONNECTED_AFTER: Duration = Duration::from_secs(8);
+/// Time for which a stopping router accepts new requests.
+const ACCEPT_WHILE_DRAINING: Duration = Duration::from_millis(2_900);
+/// Number of routers assumed until a control process has reported it.
+const DEFAULT_ROUTERS: u64 = 8;
+
+/// Settings of a router.
 #[derive(Clone, Debug)]
 pub struct RouterSettings {
-    /// The zone it stands in.
+    /// The zone of the router.
     pub zone: ZoneName,
-    /// The fleet's bound on further sends.
+    /// The fleet's limits on retries.
     pub retry_limits: RetryLimits,
-    /// Where it reads the time.
+    /// The clock.
     pub clock: MachineClock,
 }
 
-/// A router: its decisions and what they rest on. Belongs to one thread.
+/// A router's state and decisions. Belongs to one thread.
 pub struct Router {
     pub(crate) header_codec: Box<dyn HeaderCodec>,
     pub(crate) codec: Arc<dyn DocumentCodec>,
@@ -59,41 +61,41 @@
     pub(crate) picker: RefCell<EnginePicker>,
     pub(crate) wallet: RefCell<Wallet>,
     pub(crate) retry_budget: RefCell<RetryBudget>,
-    /// Requests under which engines have ended.
+    /// Requests under which engines have crashed.
     pub(crate) crash_tracker: RefCell<CrashTracker>,
-    /// Rung when control should hear of such a request.
+    /// Notified when a crash report should be sent to the leader.
     pub(crate) crash_report_due: Notify,
-    /// Budgets that are going to run out, by the leader's word.
+    /// Budgets that are going to be exhausted, as forecast by the leader.
     pub(crate) forecasts: RefCell<BTreeMap<TenantName, BudgetForecast>>,
     pub(crate) loan_handle: LoanHandle,
-    /// Which routers keep the accounts of tenants.
+    /// The routers that own the accounts of tenants.
     pub(crate) account_owners: RefCell<AccountOwners>,
-    /// Rung when the wallet has grown.
+    /// Notified when the wallet has grown.
     pub(crate) wallet_refilled: Notify,
-    /// Rung when a request does not fit the wallet.
+    /// Notified when the wallet does not cover a request.
     pub(crate) wallet_insufficient: Notify,
-    /// Rung when other routers should hear at once what was sent to an engine.
+    /// Notified when an update of this router's load should be sent to the other routers at once.
     pub(crate) load_changed: Notify,
-    /// Tokens to be read at one engine from which on that is so.
+    /// Unreported prompt tokens at one engine from which an update is sent at once.
     pub(crate) urgent_update_tokens: Cell<Tokens>,
-    /// Permits to send requests to engines, own ones and borrowed ones.
+    /// Permits to send requests to engines, own and borrowed.
     pub(crate) permits: PermitPool,
-    /// Who is let in while engines take less than is asked.
+    /// Sheds requests while the engines' rate limits are below the demand.
     pub(crate) shedding: RefCell<LoadShedder>,
-    refused_wishes: LineLimit,
+    malformed_header_lines: LineLimit,
     document: RefCell<Option<Document>>,
-    /// Revision of the engines' departures that this router has been told of whole.
-    departures_known: Cell<u64>,
+    /// The departure records of engines are known completely up to this revision.
+    departures_revision: Cell<u64>,
     table: RefCell<Option<Rc<RouteTable>>>,
     confirmed: Cell<bool>,
-    leader_heard_at: Cell<Option<Timestamp>>,
+    leader_contact_at: Cell<Option<Timestamp>>,
     draining_since: Cell<Option<BootInstant>>,
     pub(crate) congestion: Congestion,
     started: BootInstant,
 }
 
 impl Router {
-    /// A router that knows nothing yet.
+    /// Creates a router without configuration, engines or budgets.
     pub fn new(
         settings: RouterSettings,
         header_codec: Box<dyn HeaderCodec>,
@@ -109,7 +111,7 @@
             directory: RefCell::new(EngineDirectory::follower()),
             picker: RefCell::new(EnginePicker::new(settings.zone)),
             wallet: RefCell::default(),
-            retry_budget: RefCell::new(RetryBudget::new(settings.retry_limits, ROUTERS_ASSUMED)),
+            retry_budget: RefCell::new(RetryBudget::new(settings.retry_limits, DEFAULT_ROUTERS)),
             crash_tracker: RefCell::default(),
             crash_report_due: Notify::new(),
             forecasts: RefCell::default(),
@@ -121,12 +123,12 @@
             urgent_update_tokens: Cell::new(Tokens(u64::MAX)),
             permits: PermitPool::default(),
             shedding: RefCell::default(),
-            refused_wishes: LineLimit::default(),
+            malformed_header_lines: LineLimit::default(),
             document: RefCell::default(),
-            departures_known: Cell::new(0),
+            departures_revision: Cell::new(0),
             table: RefCell::default(),
             confirmed: Cell::new(false),
-            leader_heard_at: Cell::new(None),
+            leader_contact_at: Cell::new(None),
             draining_since: Cell::new(None),
             congestion: Congestion::default(),
             started: settings.clock.now(),
@@ -134,71 +136,75 @@
         })
     }
 
-    /// The router's clock, which goes on while the machine is suspended.
+    /// Time of the router's clock, which includes time in which the machine is suspended.
     pub fn now(&self) -> Timestamp {
         Timestamp::PROCESS_START + Millis(self.clock.since(self.started).as_millis() as u64)
     }
 
     /// Whether the platform should send callers here.
     pub fn is_ready(&self) -> bool {
-        let can_serve = self.table().is_some() && self.ready_engine_count() > 0 && self.can_pay();
+        let can_serve = self.table().is_some()
+            && self.ready_engine_count() > 0
+            && self.is_confirmed_or_isolated();
         can_serve && !self.is_draining() && !self.congestion.is_congested(Instant::now())
     }
 
-    /// A router that was started out of touch has nothing to spend; callers are better served by
-    /// others, unless it goes on for so long that there may be none.
-    fn can_pay(&self) -> bool {
-        self.confirmed.get() || self.clock.since(self.started) > ALONE_AFTER
+    /// A router that was started while disconnected from the leader has no tokens to spend; callers
+    /// are better served by others, unless the disconnection lasts so long that there may be none.
+    fn is_confirmed_or_isolated(&self) -> bool {
+        self.confirmed.get() || self.clock.since(self.started) > SERVE_DISCONNECTED_AFTER
     }
 
-    /// Engines that take work, as far as this router knows.
+    /// Number of engines that accept requests, as far as this router knows.
     pub fn ready_engine_count(&self) -> usize {
         let directory = self.directory.borrow();
         directory.iter().filter(|record| record.notice.state == EngineState::Ready).count()
     }
 
-    /// Requests that this router has at engines now.
+    /// Number of this router's requests in flight at engines.
     pub fn in_flight_requests(&self) -> u64 {
         let picker = self.picker.borrow();
         let directory = self.directory.borrow();
         directory.iter().map(|record| picker.in_flight(&record.notice.engine)).sum()
     }
 
-    /// Version of the configuration that is held; zero if there is none.
+    /// Version of the configuration; zero if there is none.
     pub fn configuration_version(&self) -> u64 {
         self.document_version()
     }
 
-    /// Whether a request may draw on its tenant's budget, as far as the end of it is kept for cheaper ones.
+    /// Whether a request may use its tenant's budget, whose withheld last part is kept for cheaper
+    /// requests.
     pub(crate) fn may_reserve(&self, tenant: &TenantName, amount: Tokens) -> bool {
-        let availability = self.forecasts.borrow().get(tenant).copied();
-        self.wallet.borrow_mut().admits(tenant, amount, availability)
+        let forecast = self.forecasts.borrow().get(tenant).copied();
+        self.wallet.borrow_mut().admits(tenant, amount, forecast)
     }
 
-    /// Routers to ask for tokens of a tenant before this one draws on its own wallet; none if it keeps its zone's
-    /// account.
+    /// Routers to ask for tokens of a tenant before this one uses its own wallet; none if it owns
+    /// its zone's account.
     pub(crate) fn token_lenders(&self, tenant: &TenantName) -> Vec<SocketAddr> {
         let mut lenders = self.account_owners.borrow().lenders_in_zone(self.now(), tenant);
-        if !lenders.is_empty() && !self.in_touch() {
+        if !lenders.is_empty() && !self.is_connected_to_leader() {
             lenders.extend(self.remote_token_lenders(tenant));
         }
         lenders
     }
 
-    /// Routers of other zones that keep an account of a tenant.
+    /// Routers of other zones that own an account of a tenant.
     pub(crate) fn remote_token_lenders(&self, tenant: &TenantName) -> Vec<SocketAddr> {
         self.account_owners.borrow().lenders_in_other_zones(self.now(), tenant)
     }
 
-    /// Gives back what is held of budgets whose accounts other routers keep. Out of touch nobody else could use it.
+    /// Returns tokens of budgets whose accounts other routers own. While disconnected from the
+    /// leader nobody else could use them.
     pub(crate) fn release_unowned_tokens(&self) {
-        if self.in_touch() {
+        if self.is_connected_to_leader() {
             let (now, owners) = (self.now(), self.account_owners.borrow());
             self.wallet.borrow_mut().return_unneeded(|tenant| owners.is_owner(now, tenant));
         }
     }
 
-    /// Notes that a request is about to be sent to an engine.
+    /// Records that a request is about to be sent to an engine.
     pub fn on_placed(&self, engine: &BackEndName, placement: Option<&Placement>) {
         let mut picker = self.picker.borrow_mut();
         picker.on_start(self.now(), engine, placement);
@@ -210,22 +216,23 @@
         }
     }
 
-    /// Takes in what an engine asked for in its answer to a request. A wish holds for all requests of this router
-    /// and every way on which they reach the engine: known of one attempt only, it was broken by the next one. A rate
-    /// holds for all routers together, so it goes where it is spent in one place.
+    /// Applies the directives in an engine's response to a request. A backoff holds for all
+    /// requests of this router and every path on which they reach the engine: applied to a single
+    /// attempt, it would be violated by the next one. A rate limit holds for all routers together,
+    /// so it is sent to the router that owns it.
     pub(crate) fn on_directives(
         &self,
         request: &str,
         engine: &BackEndName,
         sent_at: Timestamp,
-        wishes: &EngineDirectives,
+        directives: &EngineDirectives,
     ) {
         let now = self.now();
-        if let Some(change) = self.permits.learn(now, engine, sent_at, wishes.rate) {
+        if let Some(change) = self.permits.learn(now, engine, sent_at, directives.rate) {
             decision_log::rate_changed(self, Some(request), engine, now.since(sent_at), change);
             self.notify_rate_owner(engine);
         }
-        if let Some(backoff) = wishes.backoff {
+        if let Some(backoff) = directives.backoff {
             let change = self.picker.borrow_mut().on_backoff(now, engine, backoff);
             self.metrics.on_backoff(change);
             if let Some(record) = self.directory.borrow().get(engine) {
@@ -235,82 +242,86 @@
                 decision_log::backoff_started(self, request, engine, backoff);
             }
         }
-        if wishes.leaving && self.picker.borrow_mut().on_leaving(engine) {
+        if directives.leaving && self.picker.borrow_mut().on_leaving(engine) {
             log::info!(request = request, engine = engine.as_str(); "engine leaves by its own answer");
         }
-        for header in &wishes.malformed {
+        for header in &directives.malformed {
             self.metrics.on_malformed_header(header);
-            if let Some(held_back) = self.refused_wishes.pass(Instant::now()) {
+            if let Some(held_back) = self.malformed_header_lines.pass(Instant::now()) {
                 let engine = engine.as_str();
                 log::warn!(engine = engine, header = header, held_back = held_back; "wish refused");
             }
         }
     }
 
-    /// Whether a request that was chosen for an engine may be sent to it now.
+    /// Whether a request may still be sent to the engine that was selected for it.
     pub(crate) fn may_send(&self, engine: &BackEndName) -> bool {
         self.picker.borrow().may_send(self.now(), &self.directory.borrow(), engine)
     }
 
-    /// What a request for a service can expect.
+    /// Availability of a service's engines.
     pub(crate) fn availability(&self, service: &ServiceName) -> ServiceAvailability {
         self.picker.borrow().availability(self.now(), &self.directory.borrow(), service)
     }
 
-    /// Tokens that an engine has to read, as far as this router knows.
+    /// Prompt tokens that an engine has still to prefill, as far as this router knows.
     pub fn to_read(&self, engine: &BackEndName) -> Tokens {
         self.picker.borrow().to_read(self.now(), engine)
     }
 
-    /// Begins a planned stop.
+    /// Begins a planned shutdown.
     pub fn begin_drain(&self) {
         self.draining_since.set(Some(self.clock.now()));
     }
 
-    /// Whether a planned stop has begun.
+    /// Whether a planned shutdown has begun.
     pub fn is_draining(&self) -> bool {
         self.draining_since.get().is_some()
     }
 
-    /// Whether a planned stop has gone so far that a stream which begins now might be cut off. The
-    /// platform has had time to notice; a caller that still comes is better served elsewhere.
+    /// Whether a planned shutdown has advanced so far that a stream which begins now might be cut
+    /// off. The platform has had time to notice it; a caller that still connects is better served
+    /// elsewhere.
     pub(crate) fn rejects_new_requests(&self) -> bool {
-        self.draining_since.get().is_some_and(|since| self.clock.since(since) >= LAST_REQUESTS)
+        self.draining_since
+            .get()
+            .is_some_and(|since| self.clock.since(since) >= ACCEPT_WHILE_DRAINING)
     }
 
-    /// Whether the leader was heard so lately that what it has not said is not so.
-    pub fn in_touch(&self) -> bool {
+    /// Whether the leader has been heard recently enough that its latest state can be taken as
+    /// current.
+    pub fn is_connected_to_leader(&self) -> bool {
         let now = self.now();
-        self.leader_heard_at.get().is_some_and(|at| now.since(at) < TOUCH_LIMIT)
+        self.leader_contact_at.get().is_some_and(|at| now.since(at) < LEADER_CONTACT_TIMEOUT)
     }
 
-    /// The configuration, once it may be used.
+    /// The routing table, once it may be used.
     pub(crate) fn table(&self) -> Option<Rc<RouteTable>> {
         let usable = self.confirmed.get() || self.accepts_unconfirmed();
         self.table.borrow().clone().filter(|_| usable)
     }
 
-    /// Version of the configuration that is held, usable or not; zero if there is none.
+    /// Version of the configuration, whether it may be used or not; zero if there is none.
     pub(crate) fn document_version(&self) -> u64 {
         self.table.borrow().as_ref().map_or(0, |table| table.config().version)
     }
 
-    /// An earlier life of this process may have known a newer configuration, so a restarted
-    /// router waits for a leader, but not for ever.
+    /// Whether an unconfirmed configuration may be used. An earlier incarnation may have known a
+    /// newer configuration, so a restarted router waits for a leader, but not indefinitely.
     pub(crate) fn accepts_unconfirmed(&self) -> bool {
         self.confirmed.get()
-            || self.clock.since(self.started).as_millis() as u64 > UNCONFIRMED_AFTER.0
-                && self.leader_heard_at.get().is_none()
+            || self.clock.since(self.started).as_millis() as u64 > UNCONFIRMED_CONFIG_AFTER.0
+                && self.leader_contact_at.get().is_none()
     }
 
-    /// Takes in a configuration; one that is older than the one held is passed over.
+    /// Applies a configuration; one that is not newer than the current one is ignored.
     pub(crate) fn set_document(&self, document: Document) {
         if document.version <= self.document_version() {
             return;
         }
         match self.codec.decode(&document.bytes) {
             Ok(config) => {
-                log::info!(version = document.version; "configuration taken in");
+                log::info!(version = document.version; "configuration applied");
                 *self.table.borrow_mut() = Some(Rc::new(RouteTable::new(config)));
                 *self.document.borrow_mut() = Some(document);
             }
@@ -318,8 +329,8 @@
         }
     }
 
-    /// Takes in a configuration as the difference to the one held. One that does not fit is passed
-    /// over; the whole one follows when this router does not confirm it.
+    /// Applies a configuration delta. One that does not fit the current configuration is ignored;
+    /// the full configuration is sent when this router does not acknowledge it.
     pub(crate) fn apply_delta(&self, delta: &DocumentDelta) {
         let document = self.document.borrow().as_ref().and_then(|base| delta.apply(base));
         if let Some(document) = document {
@@ -327,29 +338,31 @@
         }
     }
 
-    /// Revision of the engines' departures that this router has been told of whole; zero if none.
-    pub(crate) fn departures_known(&self) -> u64 {
-        self.departures_known.get()
+    /// Revision up to which the departure records of engines are known completely; zero if none.
+    pub(crate) fn departures_revision(&self) -> u64 {
+        self.departures_revision.get()
     }
 
-    /// Takes in which departures have been told. What does not build on what is known leaves a gap, and is told again.
-    pub(crate) fn on_departures_received(&self, news: &DepartureDelta) {
-        let known = self.departures_known.get();
-        if news.base <= known {
-            self.departures_known.set(known.max(news.revision));
+    /// Records received departure records. A delta that does not build on the known revision leaves
+    /// a gap and is sent again.
+    pub(crate) fn on_departures_received(&self, delta: &DepartureDelta) {
+        let known = self.departures_revision.get();
+        if delta.base <= known {
+            self.departures_revision.set(known.max(delta.revision));
         }
     }
 
-    /// Takes in that the leader has spoken, which configuration is in force and which departures are written down.
+    /// Records a contact with the leader, which reports the current configuration version and the
+    /// revision of committed departures.
     pub(crate) fn on_leader_contact(&self, document_version: u64, departures: u64) {
-        if !self.in_touch() {
+        if !self.is_connected_to_leader() {
             log::info!(version = document_version; "in touch with the leader");
         }
-        self.leader_heard_at.set(Some(self.now()));
+        self.leader_contact_at.set(Some(self.now()));
         self.wallet.borrow_mut().on_contact(self.now());
-        let knows_departures = self.departures_known.get() >= departures;
-        let knows_document = document_version > 0 && self.document_version() >= document_version;
-        if knows_document && knows_departures {
+        let has_departures = self.departures_revision.get() >= departures;
+        let has_document = document_version > 0 && self.document_version() >= document_version;
+        if has_document && has_departures {
             self.confirmed.set(true);
         }
     }
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -1,4 +1,4 @@
-//! Accepts callers' connections and ends them in good order.
+//! Accepts callers' connections and shuts them down in order.
 
 use crate::request;
 use crate::router::Router;
@@ -19,23 +19,23 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep};
 
-/// Largest block of headers that is read.
+/// Size limit of a request's headers.
 const MAX_HEADER_BYTES: usize = 64 * 1024;
-/// Rest between requests if no configuration says otherwise.
-const DEFAULT_REST: Duration = Duration::from_secs(15);
-/// Added to the rest that callers may take, for their bytes on the way.
-const REST_MARGIN: Duration = Duration::from_millis(1_000);
-/// Rest of a connection that is opened while the router stops.
-const LATE_REST: Duration = Duration::from_millis(500);
-/// How long a stopping router waits before it closes resting connections: the platform needs that
+/// Idle timeout between requests while there is no configuration.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+/// Added to the idle timeout that callers are promised, for the transmission time of their bytes.
+const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_millis(1_000);
+/// Idle timeout of a connection that is opened during shutdown.
+const DRAIN_IDLE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Time that a stopping router waits before it closes idle connections: the platform needs that
 /// long to notice that it is not ready.
-const NOTICE_TIME: Duration = Duration::from_millis(2_300);
-/// A stopping router takes new connections for at least so long.
-const LINGER_TIME: Duration = Duration::from_millis(3_000);
-/// Time between two looks at whether all is done.
-const LOOK_INTERVAL: Duration = Duration::from_millis(50);
+const NOTICE_PERIOD: Duration = Duration::from_millis(2_300);
+/// Minimum time for which a stopping router accepts new connections.
+const MIN_ACCEPT_TIME: Duration = Duration::from_millis(3_000);
+/// Interval between checks whether all requests have completed.
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A server of callers.
+/// Serves callers over HTTP.
 pub struct Server {
     router: Rc<Router>,
     connections: Cell<usize>,
@@ -43,7 +43,7 @@
     closing: watch::Sender<bool>,
 }
 
-/// Serves callers at `address` from now on. Must be called inside a `LocalSet`.
+/// Starts to serve callers at `address`. Must be called inside a `LocalSet`.
 pub async fn serve_callers(
     router: Rc<Router>,
     address: SocketAddr,
@@ -59,18 +59,18 @@
 }
 
 impl Server {
-    /// Serves on until all requests are answered and nobody comes any more, or until `limit` has
+    /// Serves until all requests are complete and all connections closed, or until `limit` has
     /// passed. The router must have begun to drain.
     pub async fn drain(&self, limit: Duration) {
-        let begun = Instant::now();
-        sleep(NOTICE_TIME.min(limit)).await;
+        let started = Instant::now();
+        sleep(NOTICE_PERIOD.min(limit)).await;
         self.closing.send_replace(true);
-        while begun.elapsed() < limit {
-            let quiet = self.requests.get() == 0 && self.connections.get() == 0;
-            if quiet && begun.elapsed() >= LINGER_TIME {
+        while started.elapsed() < limit {
+            let is_idle = self.requests.get() == 0 && self.connections.get() == 0;
+            if is_idle && started.elapsed() >= MIN_ACCEPT_TIME {
                 return;
             }
-            sleep(LOOK_INTERVAL).await;
+            sleep(CHECK_INTERVAL).await;
         }
         log::warn!(requests = self.requests.get() as u64; "stops with requests under way");
     }
@@ -83,48 +83,48 @@
                 }
                 Err(error) => {
                     log::warn!(step = "accept"; "{error}");
-                    sleep(LOOK_INTERVAL).await;
+                    sleep(CHECK_INTERVAL).await;
                 }
             }
         }
     }
 
     async fn serve_connection(self: Rc<Self>, stream: TcpStream) {
-        let _counted = Counted::new(self.clone(), |server| &server.connections);
-        // Only shortens delays; a socket that refuses it still works.
+        let _guard = CounterGuard::new(self.clone(), |server| &server.connections);
+        // Only shortens delays; the connection works without it.
         let _ = SockRef::from(&stream).set_tcp_nodelay(true);
         let server = self.clone();
-        let service = service_fn(move |request| server.clone().answer(request));
-        let comes_late = *self.closing.borrow();
+        let service = service_fn(move |request| server.clone().handle(request));
+        let opened_late = *self.closing.borrow();
         let connection = http1::Builder::new()
             .timer(TokioTimer::new())
-            .header_read_timeout(if comes_late { LATE_REST } else { self.rest() })
+            .header_read_timeout(if opened_late { DRAIN_IDLE_TIMEOUT } else { self.idle_timeout() })
             .max_buf_size(MAX_HEADER_BYTES)
             .serve_connection(TokioIo::new(stream), service);
         tokio::pin!(connection);
-        if comes_late {
-            // One request is answered, which closes the connection.
+        if opened_late {
+            // One request is served, after which the connection is closed.
             let _ = connection.await;
             return;
         }
         let mut closing = self.closing.subscribe();
         let close = async {
-            // The sender lives as long as the server.
+            // The sender exists as long as the server.
             let _ = closing.wait_for(|closing| *closing).await;
         };
         tokio::select! {
-            // How a caller's connection ends is the caller's affair.
+            // Errors of a caller's connection concern only the caller.
             _ = connection.as_mut() => return,
             () = close => connection.as_mut().graceful_shutdown(),
         }
         let _ = connection.await;
     }
 
-    async fn answer(
+    async fn handle(
         self: Rc<Self>,
         request: Request<Incoming>,
     ) -> Result<Response<crate::GatewayBody>, Infallible> {
-        let _counted = Counted::new(self.clone(), |server| &server.requests);
+        let _guard = CounterGuard::new(self.clone(), |server| &server.requests);
         let mut response = request::serve(self.router.clone(), request).await;
         if self.router.is_draining() {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
@@ -132,28 +132,28 @@
         Ok(response)
     }
 
-    fn rest(&self) -> Duration {
+    fn idle_timeout(&self) -> Duration {
         let table = self.router.table();
         let configured =
             table.map(|table| Duration::from_millis(table.config().limits.idle_timeout.0));
-        configured.unwrap_or(DEFAULT_REST) + REST_MARGIN
+        configured.unwrap_or(DEFAULT_IDLE_TIMEOUT) + IDLE_TIMEOUT_MARGIN
     }
 }
 
-/// Counts something for as long as it lives.
-struct Counted {
+/// Increments a counter until dropped.
+struct CounterGuard {
     server: Rc<Server>,
     counter: fn(&Server) -> &Cell<usize>,
 }
 
-impl Counted {
+impl CounterGuard {
     fn new(server: Rc<Server>, counter: fn(&Server) -> &Cell<usize>) -> Self {
         counter(&server).set(counter(&server).get() + 1);
         Self { server, counter }
     }
 }
 
-impl Drop for Counted {
+impl Drop for CounterGuard {
     fn drop(&mut self) {
         let counter = (self.counter)(&self.server);
         counter.set(counter.get() - 1);
--- a/crates/gateway/src/unservable.rs
+++ b/crates/gateway/src/unservable.rs
@@ -1,4 +1,5 @@
-//! Requests that are known not to be servable now: refused at once, before tokens are set aside, with when to return.
+//! Refuses requests that can't be served at present, before tokens are reserved, with the time to
+//! retry.
 
 use crate::decision_log;
 use crate::refusal::{Refusal, retry_after_backoff};
@@ -6,11 +7,11 @@
 use stackpost_gateway_core::{PermitAvailability, RequestClass, ServiceAvailability};
 use stackpost_types::Millis;
 
-/// Callers heed a time to return that is up to this part of the time that they have left.
-const HEEDED_PART: u64 = 3;
+/// Callers respect a retry delay of up to this fraction of their remaining time: one third.
+const RETRY_DELAY_FRACTION: u64 = 3;
 
 impl RequestContext {
-    /// Refuses a request that no engine may be asked to serve, before tokens are set aside for it.
+    /// Refuses a request that no engine is available to serve, before tokens are reserved for it.
     pub fn refuse_if_unservable(&self) -> Result<(), Refusal> {
         match self.router.availability(&self.service) {
             ServiceAvailability::Available => Ok(()),
@@ -24,9 +25,10 @@
         }
     }
 
-    /// Refuses a request that gives way to others, while all engines of its service state rates and these are short.
+    /// Sheds a request in favour of others, while all engines of its service state rate limits
+    /// below the demand.
     pub fn refuse_if_shed(&self) -> Result<(), Refusal> {
-        if self.router.permit_outlook(&self.service, &[]) == PermitAvailability::Unlimited {
+        if self.router.permit_availability(&self.service, &[]) == PermitAvailability::Unlimited {
             return Ok(());
         }
         let (now, owned) = (self.router.now(), self.router.owned_rate(&self.service));
@@ -39,11 +41,11 @@
         Err(Refusal::RateLimitsExhausted { retry_after: self.retry_delay(Millis(0)) })
     }
 
-    /// Refuses a request for which no permit comes in time, by what the engines state that they take.
+    /// Refuses a request that gets no permit in time according to the engines' stated rates.
     pub fn refuse_if_rate_limited(&self) -> Result<(), Refusal> {
-        let patience = Millis(self.permit_wait_left.get().as_millis() as u64);
-        match self.router.permit_outlook(&self.service, &[]) {
-            PermitAvailability::Spent { soonest, engine } if soonest > patience => {
+        let wait_left = Millis(self.permit_wait_left.get().as_millis() as u64);
+        match self.router.permit_availability(&self.service, &[]) {
+            PermitAvailability::Spent { soonest, engine } if soonest > wait_left => {
                 self.router.shedding.borrow_mut().on_no_permit(self.router.now(), &self.service);
                 decision_log::rate_limits_exhausted(self, &engine, soonest);
                 Err(Refusal::RateLimitsExhausted { retry_after: self.retry_delay(soonest) })
@@ -57,9 +59,10 @@
         RequestClass { priority: self.priority(), tenant }
     }
 
-    /// When to tell the caller to return. Callers heed that for a third of their time only.
+    /// The retry delay for the caller. Callers respect delays of up to a third of their remaining
+    /// time only.
     fn retry_delay(&self, soonest: Millis) -> Millis {
-        let latest = Millis(self.deadline.remaining().as_millis() as u64 / HEEDED_PART);
+        let latest = Millis(self.deadline.remaining().as_millis() as u64 / RETRY_DELAY_FRACTION);
         let mut shedding = self.router.shedding.borrow_mut();
         shedding.retry_delay(self.router.now(), &self.service, soonest, latest, self.request_hash())
     }
--- a/crates/gateway/tests/fleet/support/mod.rs
+++ b/crates/gateway/tests/fleet/support/mod.rs
@@ -69,7 +69,7 @@
 
     /// Waits until it serves and knows `engines` engines that take work.
     pub async fn ready(&self, engines: usize) {
-        wait_until(|| self.router.is_ready() && self.router.in_touch()).await;
+        wait_until(|| self.router.is_ready() && self.router.is_connected_to_leader()).await;
         wait_until(|| self.router.ready_engine_count() == engines).await;
     }
 
@@ -226,7 +226,7 @@
             self.announce(engine, 1, EngineState::Ready).await;
         }
         let router = self.router.clone();
-        wait_until(|| router.is_ready() && router.in_touch()).await;
+        wait_until(|| router.is_ready() && router.is_connected_to_leader()).await;
         // The first request brings both engines to the router's knowledge for certain.
         wait_until(|| self.router.ready_engine_count() == self.engines.len()).await;
     }
--- a/crates/gateway/tests/fleet/support/test_codecs.rs
+++ b/crates/gateway/tests/fleet/support/test_codecs.rs
@@ -29,14 +29,18 @@
         })
     }
 
-    fn write_engine_headers(&self, headers: &mut HeaderMap, addressing: &EngineRequestHeaders<'_>) {
+    fn write_engine_headers(
+        &self,
+        headers: &mut HeaderMap,
+        engine_headers: &EngineRequestHeaders<'_>,
+    ) {
         headers.remove("key");
         let mut set = |name: &'static str, value: String| {
             headers.insert(name, value.parse().expect("a header value"));
         };
-        set("engine", addressing.engine.to_string());
-        set("wait", addressing.wait.0.to_string());
-        if let Some(event) = addressing.last_event {
+        set("engine", engine_headers.engine.to_string());
+        set("wait", engine_headers.wait.0.to_string());
+        if let Some(event) = engine_headers.last_event {
             set("after", event.to_string());
         }
     }
--- a/crates/gateway/tests/fleet/suspension.rs
+++ b/crates/gateway/tests/fleet/suspension.rs
@@ -11,11 +11,11 @@
 fn a_router_that_wakes_is_out_of_touch_until_it_hears_the_leader() {
     run_local(async {
         let fleet = Fleet::start().await;
-        assert!(fleet.router.in_touch());
+        assert!(fleet.router.is_connected_to_leader());
         fleet.clock.simulate_suspend(SUSPENDED);
-        assert!(!fleet.router.in_touch(), "its last contact is long past");
+        assert!(!fleet.router.is_connected_to_leader(), "its last contact is long past");
         let router = fleet.router.clone();
-        wait_until(|| router.in_touch()).await;
+        wait_until(|| router.is_connected_to_leader()).await;
         let got = fleet.ask("/once/1", "awake").await;
         assert_eq!(got.status, 200, "in touch again, it serves the first request");
     });
@@ -32,7 +32,7 @@
             fleet.clock.simulate_suspend(SUSPENDED);
             let got = fleet.ask("/unknown/1", "awake").await;
             // The leader may have been heard before the request was read, not the other way round.
-            if !fleet.router.in_touch() {
+            if !fleet.router.is_connected_to_leader() {
                 assert_eq!(got.status, 503, "{got:?}");
                 asked_out_of_touch += 1;
             }
