--- a/crates/gateway/tests/budget_load.rs
+++ b/crates/gateway/tests/budget_load.rs
@@ -1,9 +1,10 @@
-//! A budget under the load of a large fleet: five zones of 59 routers, each of which meets a tenant once in several
-//! seconds. What callers get depends on where the tenant's tokens lie.
+//! Simulates one tenant's budget in a large fleet: five zones of 59 routers, each of which receives
+//! a request of the tenant once in several seconds.
 //!
-//! The failure: of a budget of which half had been handed to nobody, requests were refused in touch, a thousand a
-//! second over all tenants. The cause: the leader handed tokens to 295 routers by the demand that each of them saw, and
-//! what was left lay in hands that covered no request.
+//! Guards against refusals while half of the budget is not allotted. The leader allotted tokens to
+//! 295 routers by the demand that each of them saw, and the remaining tokens were spread over
+//! routers with too few to cover a request: a thousand requests per second over all tenants were
+//! refused while connected to the leader.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -15,22 +16,22 @@
 const ZONES: u8 = 5;
 const ROUTERS_PER_ZONE: u8 = 59;
 const LIMIT: Tokens = Tokens(1_700_000);
-/// Requests of the tenant a second, from all callers.
+/// Requests of the tenant per second, from all callers.
 const REQUESTS_PER_S: f64 = 19.0;
-/// What requests of three kinds cost at most, and their weights.
+/// Maximum costs of three kinds of requests, and their weights.
 const KINDS: [(u64, u32); 3] = [(12_376, 220), (1_114, 290), (2_392, 335)];
 const STEP: Millis = Millis(10);
-/// Time between two rounds of the leader while a request waits, and while none does.
-const URGENT_ROUND: Millis = Millis(60);
-const ROUND: Millis = Millis(250);
-/// How long a request waits for tokens.
-const WAIT: Millis = Millis(176);
-/// How long a generation runs.
-const RUN: Millis = Millis(1_000);
-/// A request that would take the budget beyond this part of its limit is not owed, in thousandths.
-const OWED_PERMILLE: u64 = 970;
+/// Intervals of the leader's planning rounds while a request waits, and while none does.
+const URGENT_ROUND_INTERVAL: Millis = Millis(60);
+const ROUND_INTERVAL: Millis = Millis(250);
+/// Longest wait of a request for tokens.
+const MAX_WAIT: Millis = Millis(176);
+/// Duration of a generation.
+const RUN_TIME: Millis = Millis(1_000);
+/// A refusal counts as unjustified only up to this part of the limit, in thousandths.
+const COVERED_PERMILLE: u64 = 970;
 
-/// Where tokens are set aside.
+/// Which routers hold accounts of the tenant.
 #[derive(Clone, Copy, PartialEq)]
 enum Accounts {
     AtEveryRouter,
@@ -47,8 +48,8 @@
     now: Timestamp,
     nodes: Vec<NodeId>,
     wallets: Vec<Wallet>,
-    /// The router that keeps each router's account.
-    keeper: Vec<usize>,
+    /// For each router, the router that owns its account.
+    owner: Vec<usize>,
     ledger: PrepaidLedger,
     scarce_limiter: ScarceBudgetLimiter,
     forecast: Option<BudgetForecast>,
@@ -56,10 +57,10 @@
     running: Vec<(Timestamp, usize, Tokens)>,
     round_at: Timestamp,
     used: Tokens,
-    /// Refused although the budget had room, by the count that callers are owed.
-    refused_owed: usize,
+    /// Requests refused although the budget covered them.
+    unjustified_refusals: usize,
     served: usize,
-    /// Accounts that the leader planned for in a round, at most.
+    /// Largest number of accounts in one planning round.
     accounts: usize,
 }
 
@@ -67,37 +68,37 @@
     TenantName::new("ferry")
 }
 
-fn sites() -> Vec<RouterEndpoint> {
-    let site = |zone: u8, router: u8| RouterEndpoint {
+fn endpoints() -> Vec<RouterEndpoint> {
+    let endpoint = |zone: u8, router: u8| RouterEndpoint {
         zone: ZoneName::new(format!("zone{zone}")),
         address: ([10, 0, zone, router], 80).into(),
     };
     (0..ZONES)
-        .flat_map(|zone| (0..ROUTERS_PER_ZONE).map(move |router| site(zone, router)))
+        .flat_map(|zone| (0..ROUTERS_PER_ZONE).map(move |router| endpoint(zone, router)))
         .collect()
 }
 
-fn keepers(accounts: Accounts, now: Timestamp) -> Vec<usize> {
-    let sites = sites();
-    let all: BTreeSet<RouterEndpoint> = sites.iter().cloned().collect();
-    let keeper = |(index, own): (usize, &RouterEndpoint)| {
+fn account_owners(accounts: Accounts, now: Timestamp) -> Vec<usize> {
+    let endpoints = endpoints();
+    let all: BTreeSet<RouterEndpoint> = endpoints.iter().cloned().collect();
+    let owner = |(index, own): (usize, &RouterEndpoint)| {
         if accounts == Accounts::AtEveryRouter {
             return index;
         }
         let mut owners = AccountOwners::default();
         owners.set_endpoints(own, &all);
-        let asked = owners.lenders_in_zone(now, &tenant()).first().copied();
-        asked.map_or(index, |owner| {
-            sites.iter().position(|site| site.address == owner).expect("a router")
+        let owner_address = owners.lenders_in_zone(now, &tenant()).first().copied();
+        owner_address.map_or(index, |owner| {
+            endpoints.iter().position(|endpoint| endpoint.address == owner).expect("a router")
         })
     };
-    sites.iter().enumerate().map(keeper).collect()
+    endpoints.iter().enumerate().map(owner).collect()
 }
 
 impl Fleet {
     fn start(accounts: Accounts) -> Self {
         let now = Timestamp(10_000);
-        let routers = sites().len();
+        let routers = endpoints().len();
         let node = |index: usize| NodeId {
             machine: MachineName::new(format!("m{index}")),
             incarnation: Incarnation(1),
@@ -108,7 +109,7 @@
             now,
             nodes: (0..routers).map(node).collect(),
             wallets: (0..routers).map(|_| Wallet::default()).collect(),
-            keeper: keepers(accounts, now),
+            owner: account_owners(accounts, now),
             ledger,
             scarce_limiter: ScarceBudgetLimiter::default(),
             forecast: None,
@@ -116,27 +117,32 @@
             running: Vec::new(),
             round_at: now,
             used: Tokens::ZERO,
-            refused_owed: 0,
+            unjustified_refusals: 0,
             served: 0,
             accounts: 0,
         }
     }
 
-    /// Plays until the budget is used up, as far as callers are owed.
-    fn play(&mut self, seed: u64) {
+    /// Runs until the budget is exhausted.
+    fn run(&mut self, seed: u64) {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
-        while self.used < LIMIT.scaled(OWED_PERMILLE, 1_000) {
+        while self.used < LIMIT.scaled(COVERED_PERMILLE, 1_000) {
             self.now = self.now + STEP;
             if random.random_bool(REQUESTS_PER_S * STEP.0 as f64 / 1_000.0) {
                 self.request(&mut random);
             }
             self.settle();
             self.retry();
-            let pause = if self.waiting.is_empty() { ROUND } else { URGENT_ROUND };
+            let pause =
+                if self.waiting.is_empty() { ROUND_INTERVAL } else { URGENT_ROUND_INTERVAL };
             if self.now.since(self.round_at) >= pause {
                 self.round();
             }
-            assert!(self.now < Timestamp(300_000), "the budget is not used up: {}", self.used);
+            assert!(
+                self.now < Timestamp(300_000),
+                "budget not exhausted in 300 s, used: {}",
+                self.used
+            );
         }
     }
 
@@ -149,7 +155,7 @@
             found
         });
         let amount = Tokens(kind.expect("a kind").0);
-        let holder = self.keeper[random.random_range(0..self.wallets.len())];
+        let holder = self.owner[random.random_range(0..self.wallets.len())];
         let wallet = &mut self.wallets[holder];
         wallet.on_contact(self.now);
         if !wallet.admits(&tenant(), amount, self.forecast) {
@@ -157,19 +163,19 @@
         }
         match wallet.reserve(self.now, &tenant(), amount) {
             Ok(()) => self.serve(holder, amount),
-            Err(_) => self.waiting.push(Waiting { holder, amount, until: self.now + WAIT }),
+            Err(_) => self.waiting.push(Waiting { holder, amount, until: self.now + MAX_WAIT }),
         }
     }
 
     fn serve(&mut self, holder: usize, amount: Tokens) {
         self.served += 1;
         self.used += amount;
-        self.running.push((self.now + RUN, holder, amount));
+        self.running.push((self.now + RUN_TIME, holder, amount));
     }
 
     fn refuse(&mut self, amount: Tokens) {
-        if self.used + amount <= LIMIT.scaled(OWED_PERMILLE, 1_000) {
-            self.refused_owed += 1;
+        if self.used + amount <= LIMIT.scaled(COVERED_PERMILLE, 1_000) {
+            self.unjustified_refusals += 1;
         }
     }
 
@@ -199,7 +205,7 @@
         });
     }
 
-    /// All routers report, and the leader's plan is committed and told.
+    /// All routers report, and the leader's plan is committed and delivered.
     fn round(&mut self) {
         let elapsed = self.now.since(self.round_at);
         self.round_at = self.now;
@@ -235,25 +241,25 @@
     }
 }
 
-fn played(accounts: Accounts, seed: u64) -> Fleet {
+fn simulate(accounts: Accounts, seed: u64) -> Fleet {
     let mut fleet = Fleet::start(accounts);
-    fleet.play(seed);
+    fleet.run(seed);
     fleet
 }
 
 #[test]
-fn callers_in_touch_are_refused_nothing_that_their_budget_covers() {
+fn connected_fleet_refuses_nothing_that_the_budget_covers() {
     for seed in 1..=20 {
-        let fleet = played(Accounts::AtTheOwner, seed);
-        assert_eq!(fleet.refused_owed, 0, "seed {seed}, {} served", fleet.served);
+        let fleet = simulate(Accounts::AtTheOwner, seed);
+        assert_eq!(fleet.unjustified_refusals, 0, "seed {seed}, {} served", fleet.served);
         assert!(fleet.accounts <= usize::from(ZONES), "{} accounts", fleet.accounts);
     }
 }
 
 #[test]
-fn an_account_at_every_router_refuses_callers_whose_budget_covers_them() {
-    let fleets: Vec<Fleet> = (1..=5).map(|seed| played(Accounts::AtEveryRouter, seed)).collect();
-    let refused: usize = fleets.iter().map(|fleet| fleet.refused_owed).sum();
+fn accounts_at_every_router_refuse_covered_requests() {
+    let fleets: Vec<Fleet> = (1..=5).map(|seed| simulate(Accounts::AtEveryRouter, seed)).collect();
+    let refused: usize = fleets.iter().map(|fleet| fleet.unjustified_refusals).sum();
     assert!(refused > 0);
     assert!(fleets.iter().all(|fleet| fleet.accounts > 100));
 }
--- a/crates/gateway/tests/fleet/backoff.rs
+++ b/crates/gateway/tests/fleet/backoff.rs
@@ -1,65 +1,64 @@
-//! Engines that ask a router for rest, or say that they leave, in their answers.
+//! Engines that ask for a backoff, or announce their departure, in response headers.
 //!
-//! The failure: four of twelve engines of one service turned away whatever came for nine seconds, each time
-//! asking for three seconds of rest. Routers sent on: one of them reached an engine 0.2 s, 0.7 s (twice) and 2.3 s
-//! after its first wish. Callers were refused after two such sends each, while eight engines had room.
+//! Guards against requests sent during a backoff. Four of twelve engines of one service rejected
+//! every request for nine seconds, each time asking for a backoff of three seconds. A router still
+//! sent requests to one of them 0.2 s, 0.7 s (twice) and 2.3 s after its first directive, and
+//! callers were refused after two such attempts each, while eight engines had free capacity. The
+//! directive applied to a single attempt only: it counted as one failure among others, and ejection
+//! began with the third consecutive failure and lasted for a time of the router's own.
 //!
-//! The cause: what an engine says of itself in an answer was known of one attempt only. A wish to rest counted as one
-//! failure among others, avoidance began with the third in a row and lasted for a time of the router's own. The
-//! evidence: the log line of each send shows the engine as `good` when it was chosen, with `turned_away_before_ms` well
-//! below the rest that it had asked for; the sends stop after the third failure and go on 1.5 s later. See
-//! `docs/incidents/2026-12-03-rests-not-kept.md`.
+//! See `docs/incidents/2026-12-03-rests-not-kept.md`.
 
 use crate::support::*;
 use std::time::{Duration, Instant};
 
-/// The rest that engines ask for.
-const REST: Duration = Duration::from_secs(3);
-/// What was under way may still arrive so long after a wish.
-const UNDER_WAY: Duration = Duration::from_millis(500);
-/// Time between two requests of a test.
-const PACE: Duration = Duration::from_millis(100);
+/// The backoff that engines ask for.
+const BACKOFF: Duration = Duration::from_secs(3);
+/// Requests already in flight may arrive up to this long after a directive.
+const IN_FLIGHT_TIME: Duration = Duration::from_millis(500);
+/// Interval between two requests of a test.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Requests that reached an engine while it rested, after its first wish.
-fn arrived_in_rest(engine: &Engine) -> usize {
-    let arrived = engine.turned_away.borrow();
+/// Requests that reached an engine during its backoff, after its first directive.
+fn arrivals_in_backoff(engine: &Engine) -> usize {
+    let arrived = engine.rejected_at.borrow();
     let Some(first) = arrived.first() else {
         return 0;
     };
-    let in_rest = |at: &Instant| (UNDER_WAY..REST).contains(&at.duration_since(*first));
-    arrived.iter().filter(|at| in_rest(at)).count()
+    let in_backoff = |at: &Instant| (IN_FLIGHT_TIME..BACKOFF).contains(&at.duration_since(*first));
+    arrived.iter().filter(|at| in_backoff(at)).count()
 }
 
 #[test]
-fn an_engine_that_asked_for_rest_is_left_alone() {
+fn backoff_of_an_engine_is_respected() {
     run_local(async {
         let fleet = Fleet::start().await;
-        fleet.set_behaviours(Behaviour::Full, Behaviour::Answer);
-        fleet.engines[0].backoff.set(Some(REST));
-        let begun = Instant::now();
+        fleet.set_behaviours(Behaviour::Full, Behaviour::Respond);
+        fleet.engines[0].backoff.set(Some(BACKOFF));
+        let started = Instant::now();
         for number in 0.. {
             let got = fleet.ask("/again/1", &format!("rest-{number}")).await;
-            assert_eq!(got.status, 200, "the other engine has room");
-            tokio::time::sleep(PACE).await;
-            if begun.elapsed() > REST - PACE {
+            assert_eq!(got.status, 200, "the other engine has free capacity");
+            tokio::time::sleep(REQUEST_INTERVAL).await;
+            if started.elapsed() > BACKOFF - REQUEST_INTERVAL {
                 break;
             }
         }
-        assert!(!fleet.engines[0].turned_away.borrow().is_empty(), "it was asked once");
-        assert_eq!(arrived_in_rest(&fleet.engines[0]), 0);
+        assert!(!fleet.engines[0].rejected_at.borrow().is_empty(), "the engine received a request");
+        assert_eq!(arrivals_in_backoff(&fleet.engines[0]), 0);
     });
 }
 
 #[test]
-fn an_engine_that_rests_is_not_asked_for_want_of_another() {
+fn backoff_is_respected_without_an_alternative() {
     run_local(async {
         let fleet = Fleet::start().await;
         fleet.set_behaviours(Behaviour::Full, Behaviour::Full);
-        fleet.engines.iter().for_each(|engine| engine.backoff.set(Some(REST)));
+        fleet.engines.iter().for_each(|engine| engine.backoff.set(Some(BACKOFF)));
         fleet.ask("/again/1", "first").await;
         fleet.ask("/again/1", "second").await;
         let arrived = || -> usize {
-            fleet.engines.iter().map(|engine| engine.turned_away.borrow().len()).sum()
+            fleet.engines.iter().map(|engine| engine.rejected_at.borrow().len()).sum()
         };
         let before = arrived();
         for (number, path) in
@@ -67,14 +66,14 @@
         {
             let got = fleet.ask(path, &format!("late-{number}")).await;
             assert_eq!(got.status, 503, "{path}");
-            assert!(got.body.expect("whole").contains("\"not_run\""));
+            assert!(got.body.expect("a complete body").contains("\"not_run\""));
         }
-        assert_eq!(arrived(), before, "none of them was sent");
+        assert_eq!(arrived(), before, "no request was sent to an engine");
     });
 }
 
 #[test]
-fn an_engine_that_says_in_an_answer_that_it_leaves_gets_no_new_request() {
+fn leaving_engine_receives_no_new_requests() {
     run_local(async {
         let fleet = Fleet::start().await;
         fleet.engines[0].leaving.set(true);
@@ -82,7 +81,7 @@
             fleet.ask("/once/1", &format!("before-{}", fleet.runs())).await;
         }
         for number in 0..20 {
-            // It goes on saying that it is ready, as one whose announcements are held up does.
+            // The engine keeps announcing itself as ready, as one with delayed announcements does.
             fleet
                 .announce(&fleet.engines[0], 2 + number, stackpost_gateway_core::EngineState::Ready)
                 .await;
@@ -93,91 +92,96 @@
     });
 }
 
-/// Seconds that a caller is told to stay away.
+/// The retry delay sent to a caller, in seconds.
 fn retry_after(got: &CallerResponse) -> f64 {
-    let value = got.headers.get("retry-after").expect("callers are told when to come again");
+    let value = got.headers.get("retry-after").expect("a retry-after header");
     value.to_str().expect("text").parse().expect("seconds")
 }
 
 #[test]
-fn callers_are_told_when_the_first_rest_ends_and_do_not_return_together() {
+fn retry_delays_match_the_first_backoff_and_are_spread() {
     run_local(async {
         let fleet = Fleet::start().await;
         fleet.set_behaviours(Behaviour::Full, Behaviour::Full);
-        fleet.engines[0].backoff.set(Some(REST));
-        fleet.engines[1].backoff.set(Some(2 * REST));
-        let asked = Instant::now();
+        fleet.engines[0].backoff.set(Some(BACKOFF));
+        fleet.engines[1].backoff.set(Some(2 * BACKOFF));
+        let first_request_at = Instant::now();
         fleet.ask("/again/1", "first").await;
-        let mut told = Vec::new();
+        let mut delays = Vec::new();
         for number in 0..12 {
             let got = fleet.ask("/again/1", &format!("told-{number}")).await;
-            assert!(got.body.as_ref().expect("whole").contains("engines_rest"));
-            let (least, most) = (REST.saturating_sub(asked.elapsed()), REST + UNDER_WAY);
-            let said = retry_after(&got);
-            assert!((least.as_secs_f64()..most.as_secs_f64()).contains(&said), "{said} s");
-            told.push((said * 1_000.0) as u64);
+            assert!(got.body.as_ref().expect("a complete body").contains("engines_rest"));
+            let (least, most) =
+                (BACKOFF.saturating_sub(first_request_at.elapsed()), BACKOFF + IN_FLIGHT_TIME);
+            let delay = retry_after(&got);
+            assert!((least.as_secs_f64()..most.as_secs_f64()).contains(&delay), "{delay} s");
+            delays.push((delay * 1_000.0) as u64);
         }
-        told.sort_unstable();
-        told.dedup();
-        assert!(told.len() > 6, "they return at different moments: {told:?}");
+        delays.sort_unstable();
+        delays.dedup();
+        assert!(delays.len() > 6, "retry delays are not spread: {delays:?}");
     });
 }
 
 #[test]
-fn no_tokens_are_set_aside_for_what_nobody_may_serve() {
+fn no_tokens_are_reserved_while_no_engine_is_available() {
     run_local(async {
         let fleet = Fleet::start().await;
         fleet.set_behaviours(Behaviour::Full, Behaviour::Full);
-        fleet.engines.iter().for_each(|engine| engine.backoff.set(Some(REST)));
+        fleet.engines.iter().for_each(|engine| engine.backoff.set(Some(BACKOFF)));
         fleet.ask("/again/1", "first").await;
-        // More than the whole budget, one after the other: none is refused for it.
+        // Together the requests exceed the budget; none may be refused because of it.
         for number in 0..2 * PREPAID / (PROMPT + MAX_GENERATED) {
             let got = fleet.generate(&format!("unserved-{number}")).await;
-            assert!(got.body.expect("whole").contains("engines_rest"));
+            assert!(got.body.expect("a complete body").contains("engines_rest"));
         }
-        fleet.set_behaviours(Behaviour::Answer, Behaviour::Answer);
-        tokio::time::sleep(REST).await;
+        fleet.set_behaviours(Behaviour::Respond, Behaviour::Respond);
+        tokio::time::sleep(BACKOFF).await;
         wait_until_served(&fleet).await;
     });
 }
 
-/// A generation is served once the rests are over.
+/// Waits until a generation is served.
 async fn wait_until_served(fleet: &Fleet) {
     for number in 0.. {
         if fleet.generate(&format!("served-{number}")).await.status == 200 {
             return;
         }
-        tokio::time::sleep(PACE).await;
+        tokio::time::sleep(REQUEST_INTERVAL).await;
     }
 }
 
 #[test]
-fn a_stream_is_not_taken_up_at_an_engine_that_rests() {
+fn stream_is_not_resumed_at_an_engine_in_backoff() {
     run_local(async {
         let fleet = Fleet::start().await;
-        fleet.set_behaviours(Behaviour::Full, Behaviour::Answer);
-        fleet.engines[0].backoff.set(Some(REST));
-        while fleet.engines[0].turned_away.borrow().is_empty() {
+        fleet.set_behaviours(Behaviour::Full, Behaviour::Respond);
+        fleet.engines[0].backoff.set(Some(BACKOFF));
+        while fleet.engines[0].rejected_at.borrow().is_empty() {
             fleet.ask("/again/1", &format!("before-{}", fleet.runs())).await;
         }
         fleet.engines[1].behaviour.set(Behaviour::Truncate);
         let got = fleet.ask("/stream/1", "stream").await;
-        assert!(got.body.is_err(), "there is nobody to go on with it: {got:?}");
-        assert_eq!(fleet.engines[0].turned_away.borrow().len(), 1);
+        assert!(got.body.is_err(), "no engine can resume the stream: {got:?}");
+        assert_eq!(fleet.engines[0].rejected_at.borrow().len(), 1);
     });
 }
 
 #[test]
-fn a_stream_under_way_at_an_engine_that_leaves_goes_on_to_its_end() {
+fn stream_at_a_leaving_engine_completes() {
     run_local(async {
         let fleet = Fleet::start().await;
         fleet.leave(fleet.engines[1].name.id()).await;
         wait_until(|| fleet.router.ready_engine_count() == 1).await;
         fleet.engines[0].leaving.set(true);
         let got = fleet.ask("/plain-stream/1", "stream").await;
-        assert_eq!(got.body, Ok(all_events()), "its own head says that the engine leaves");
+        assert_eq!(
+            got.body,
+            Ok(all_events()),
+            "the engine announces its departure in the head of this response"
+        );
         let got = fleet.ask("/plain-stream/1", "next").await;
         assert_eq!(got.status, 503);
-        assert!(got.body.expect("whole").contains("no_engine"));
+        assert!(got.body.expect("a complete body").contains("no_engine"));
     });
 }
--- a/crates/gateway/tests/fleet/budgets.rs
+++ b/crates/gateway/tests/fleet/budgets.rs
@@ -1,40 +1,41 @@
-//! One budget, several routers of a zone.
+//! One budget, several routers of one zone.
 
 use crate::support::{Fleet, PREPAID, PROMPT, TOKENS_PER_EVENT, run_local};
 
-/// Routers beside the first one.
-const OTHERS: usize = 4;
+/// Routers in addition to the first one.
+const OTHER_ROUTERS: usize = 4;
 const ENGINES: usize = 2;
-/// Refusals in a row after which the budget counts as spent.
-const REFUSED_AT_ITS_END: usize = 12;
+/// Consecutive refusals after which the budget counts as exhausted.
+const REFUSALS_WHEN_EXHAUSTED: usize = 12;
 
-/// With an account at every router five hands and reserves share ten requests' worth of tokens.
+/// With an account at every router, five primaries and reserves would share tokens for ten
+/// requests.
 #[test]
-fn several_routers_spend_one_budget_to_its_end_and_never_beyond() {
+fn several_routers_exhaust_but_never_exceed_a_budget() {
     run_local(async {
         let fleet = Fleet::start().await;
         let mut others = Vec::new();
-        for _ in 0..OTHERS {
+        for _ in 0..OTHER_ROUTERS {
             let router = fleet.add_router().await;
             router.ready(ENGINES).await;
             others.push(router);
         }
         let cost = PROMPT + 8 * TOKENS_PER_EVENT;
-        let (mut served, mut refused_in_a_row) = (0, 0);
+        let (mut served, mut consecutive_refusals) = (0, 0);
         for number in 0.. {
             let id = format!("g{number}");
-            let got = match number % (OTHERS + 1) {
+            let got = match number % (OTHER_ROUTERS + 1) {
                 0 => fleet.generate(&id).await,
                 other => others[other - 1].generate(&id).await,
             };
             if got.status == 200 {
                 served += 1;
-                refused_in_a_row = 0;
+                consecutive_refusals = 0;
             } else {
                 assert_eq!(got.status, 429);
-                refused_in_a_row += 1;
+                consecutive_refusals += 1;
             }
-            if refused_in_a_row == REFUSED_AT_ITS_END {
+            if consecutive_refusals == REFUSALS_WHEN_EXHAUSTED {
                 break;
             }
         }
--- a/crates/gateway/tests/fleet/control_metrics.rs
+++ b/crates/gateway/tests/fleet/control_metrics.rs
@@ -1,10 +1,10 @@
-//! What control tells of itself in figures.
+//! Metrics of the control process.
 
 use crate::support::*;
 
-/// A figure by its name and labels as they stand in the text.
-fn figure(fleet: &Fleet, name: &str) -> Option<f64> {
-    let text = fleet.control_metrics.render().expect("figures can be shown");
+/// The value of a metric, by its name and labels as in the text format.
+fn metric(fleet: &Fleet, name: &str) -> Option<f64> {
+    let text = fleet.control_metrics.render().expect("metrics can be rendered");
     let line = text
         .lines()
         .find(|line| line.strip_prefix(name).is_some_and(|rest| rest.starts_with(' ')))?;
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn control_tells_what_it_believes_and_what_it_was_asked() {
+fn control_exports_its_state_and_request_counts() {
     run_local(async {
         let fleet = Fleet::start().await;
         fleet.control.read_document().await;
@@ -21,7 +21,7 @@
                 != stackpost_coordinator::PutReply::Accepted
         );
         let at_least =
-            |name: &str, least: f64| figure(&fleet, name).is_some_and(|value| value >= least);
+            |name: &str, least: f64| metric(&fleet, name).is_some_and(|value| value >= least);
         wait_until(|| at_least("stackpost_engines{state=\"ready\"}", 2.0)).await;
         wait_until(|| at_least("stackpost_connected_machines{role=\"router\"}", 1.0)).await;
         for name in [
@@ -34,23 +34,23 @@
             "stackpost_configuration_puts_total{reply=\"invalid\"}",
             "stackpost_configuration_reads_total{reply=\"newest\"}",
         ] {
-            assert!(at_least(name, 1.0), "{name}: {:?}", figure(&fleet, name));
+            assert!(at_least(name, 1.0), "{name}: {:?}", metric(&fleet, name));
         }
     });
 }
 
 #[test]
-fn engines_that_end_are_counted() {
+fn crashed_engines_are_counted() {
     run_local(async {
         let fleet = Fleet::start().await;
         let path = format!("/once/{}", CrashPoint::BeforeHead.path_segment());
         fleet.ask(&path, "a").await;
         wait_until(|| {
-            figure(&fleet, "stackpost_crash_sightings_total{engine=\"ended\"}") >= Some(1.0)
+            metric(&fleet, "stackpost_crash_sightings_total{engine=\"ended\"}") >= Some(1.0)
         })
         .await;
         wait_until(|| {
-            figure(&fleet, "stackpost_crashing_requests{state=\"suspected\"}") >= Some(1.0)
+            metric(&fleet, "stackpost_crashing_requests{state=\"suspected\"}") >= Some(1.0)
         })
         .await;
     });
--- a/crates/gateway/tests/fleet/crashing_requests.rs
+++ b/crates/gateway/tests/fleet/crashing_requests.rs
@@ -1,16 +1,12 @@
-//! A request that ends every engine that begins to run it.
+//! A request that crashes every engine that begins to run it.
 //!
-//! The failure: callers of one service met broken answers for spells of 12 to 16 seconds, in which one
-//! engine after the other ended, 13 to 23 in a spell. In each spell one request came again and again,
-//! about once a second, with the same path, tenant and body but a new id, over new connections and at
-//! any router. Each copy was let in like a first one, reached one engine, began to run there and ended it,
-//! with all the streams of other callers that ran beside it.
+//! Guards against copies of such a request reaching one engine after the other: in spells of 12 to
+//! 16 seconds, 13 to 23 engines crashed, with the streams of all other callers there. The same
+//! request arrived about once a second, with the same path, tenant and body but a new id, over new
+//! connections and at any router. Each router knew only of its own attempts, and only until they
+//! were answered, so all twelve copies sent to two routers in turn reached an engine.
 //!
-//! The cause: everything that was known of a request was known of one try of it, at one router, until
-//! that try was answered. The evidence: each copy was sent to just one engine by just one router, so no
-//! router repeated it; copies came through all routers; and the first test below, in which two routers are
-//! asked in turn, let all twelve copies through. See
-//! `docs/incidents/2026-12-03-crashing-request.md`.
+//! See `docs/incidents/2026-12-03-crashing-request.md`.
 
 use crate::support::*;
 use stackpost_gateway_core::EngineState;
@@ -18,16 +14,17 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Engines that a request may end before it is sent to no further one.
-const ENGINES_LOST: usize = 3;
-/// Further sends that are borne after the third engine has ended: copies that were under way already.
-const SENDS_AFTER: usize = 3;
-/// Copies that come one after the other.
+/// Engines that a request may crash before it is quarantined.
+const CRASHES_ALLOWED: usize = 3;
+/// Further attempts that are tolerated after the third crash: copies already in flight.
+const ATTEMPTS_AFTER: usize = 3;
+/// Number of copies sent one after the other.
 const COPIES: usize = 12;
-/// Time for every router in touch to hear of the third engine. A fleet that needs longer fails.
-const CONTACT_TIME: Duration = Duration::from_millis(1_500);
+/// Time within which every router that is connected to the leader must receive the quarantine. A
+/// slower fleet fails the test.
+const PROPAGATION_TIME: Duration = Duration::from_millis(1_500);
 
-/// A fleet of two routers whose engines are started anew, under a new name, when they have ended.
+/// A fleet of two routers whose crashed engines are replaced by new ones with new names.
 struct RestartingFleet {
     fleet: Fleet,
     second: RefCell<RouterMachine>,
@@ -45,36 +42,36 @@
         Self { fleet, second: RefCell::new(second), engines, started }
     }
 
-    /// Waits until both routers know of all engines that run.
-    async fn all_known(&self) {
+    /// Waits until both routers know all running engines.
+    async fn wait_until_all_known(&self) {
         let running = self.engines.borrow().len();
         let second = self.second.borrow().router.clone();
         wait_until(|| self.fleet.router.ready_engine_count() == running).await;
         wait_until(|| second.ready_engine_count() == running).await;
     }
 
-    /// Puts a new engine in the place of each one that has ended, and waits until both routers know.
+    /// Replaces each crashed engine by a new one, and waits until both routers know them.
     async fn restart_engines(&self) {
-        let (ended, running) = self
+        let (crashed, running) = self
             .engines
             .take()
             .into_iter()
             .partition::<Vec<_>, _>(|engine| engine.has_crashed.get());
         self.engines.replace(running);
-        for engine in &ended {
+        for engine in &crashed {
             self.fleet.leave(engine.name.id()).await;
         }
-        self.all_known().await;
-        for _ in ended {
+        self.wait_until_all_known().await;
+        for _ in crashed {
             self.started.set(self.started.get() + 1);
             let engine = Engine::start(&format!("e{}", self.started.get())).await;
             self.fleet.announce(&engine, 1, EngineState::Ready).await;
             self.engines.borrow_mut().push(engine);
         }
-        self.all_known().await;
+        self.wait_until_all_known().await;
     }
 
-    /// Asks one of the two routers.
+    /// Sends a request to one of the two routers.
     async fn ask(&self, number: usize, path: &str, id: &str) -> CallerResponse {
         if number.is_multiple_of(2) {
             return self.fleet.ask(path, id).await;
@@ -83,66 +80,75 @@
         ask_as_caller(callers, path, id).await
     }
 
-    /// Sends copies of one request to both routers in turn. Returns how many engines had ended in all.
+    /// Sends copies of one request to both routers in turn. Returns the total number of crashed
+    /// engines.
     async fn send_copies(&self, path: &str, copies: usize) -> usize {
-        let mut heard = false;
+        let mut has_waited = false;
         for number in 0..copies {
-            if self.ended_in_all() >= ENGINES_LOST && !std::mem::replace(&mut heard, true) {
-                tokio::time::sleep(CONTACT_TIME).await;
+            if self.crashed_engines() >= CRASHES_ALLOWED
+                && !std::mem::replace(&mut has_waited, true)
+            {
+                tokio::time::sleep(PROPAGATION_TIME).await;
             }
             self.ask(number, path, &format!("{path}-{number}")).await;
             self.restart_engines().await;
         }
-        self.ended_in_all()
+        self.crashed_engines()
     }
 
-    fn ended_in_all(&self) -> usize {
+    fn crashed_engines(&self) -> usize {
         self.started.get() - self.fleet.engines.len()
     }
 }
 
 #[test]
-fn a_request_that_has_ended_three_engines_reaches_no_more() {
+fn crashing_request_is_quarantined_after_three_engines() {
     for point in CrashPoint::ALL {
         run_local(async move {
             let fleet = RestartingFleet::start().await;
             let path = format!("/plain-stream/{}", point.path_segment());
-            let ended = fleet.send_copies(&path, COPIES).await;
-            assert!(ended <= ENGINES_LOST + SENDS_AFTER, "{ended} engines ended, {point:?}");
+            let crashed = fleet.send_copies(&path, COPIES).await;
+            assert!(
+                crashed <= CRASHES_ALLOWED + ATTEMPTS_AFTER,
+                "{crashed} engines crashed, {point:?}"
+            );
             for number in 0..2 {
                 let got = fleet.ask(number, &path, &format!("late-{number}")).await;
                 assert_eq!(got.status, 503, "{point:?}");
-                assert!(got.body.expect("whole").contains("\"not_run\""));
+                assert!(got.body.expect("a complete body").contains("\"not_run\""));
             }
             let got = fleet.fleet.ask("/plain-stream/other", "other").await;
-            assert_eq!(got.body, Ok(all_events()), "others are served");
+            assert_eq!(got.body, Ok(all_events()), "other requests are served");
         });
     }
 }
 
 #[test]
-fn what_may_repeat_ends_no_more_engines_than_what_may_not() {
+fn idempotent_requests_crash_no_more_engines_than_others() {
     for path in ["/stream/crash-after-events", "/again/crash-before-head"] {
         run_local(async move {
             let fleet = RestartingFleet::start().await;
-            let ended = fleet.send_copies(path, COPIES).await;
-            assert!(ended <= ENGINES_LOST + SENDS_AFTER, "{ended} engines ended, {path}");
+            let crashed = fleet.send_copies(path, COPIES).await;
+            assert!(
+                crashed <= CRASHES_ALLOWED + ATTEMPTS_AFTER,
+                "{crashed} engines crashed, {path}"
+            );
         });
     }
 }
 
 #[test]
-fn a_router_that_starts_anew_lets_it_through_no_more() {
+fn new_router_refuses_a_quarantined_request() {
     run_local(async {
         let fleet = RestartingFleet::start().await;
         let path = format!("/plain-stream/{}", CrashPoint::BeforeFirstEvent.path_segment());
         let before = fleet.send_copies(&path, COPIES).await;
-        let newcomer = fleet.fleet.add_router().await;
+        let new_router = fleet.fleet.add_router().await;
         let running = fleet.engines.borrow().len();
-        newcomer.ready(running).await;
-        fleet.second.replace(newcomer);
+        new_router.ready(running).await;
+        fleet.second.replace(new_router);
         let got = fleet.ask(1, &path, "at-newcomer").await;
         assert_eq!(got.status, 503);
-        assert_eq!(fleet.ended_in_all(), before);
+        assert_eq!(fleet.crashed_engines(), before);
     });
 }
--- a/crates/gateway/tests/fleet/departure_log.rs
+++ b/crates/gateway/tests/fleet/departure_log.rs
@@ -1,4 +1,4 @@
-//! The lines that tell afterwards which process knew when that an engine left.
+//! Log lines that show which process learned when that an engine left.
 
 use crate::support::lines::{capture_log_lines, log_lines_with};
 use crate::support::*;
@@ -7,7 +7,7 @@
 const ENGINE: &str = "an-engine-that-goes";
 
 #[test]
-fn routers_say_when_an_engine_comes_and_goes_and_control_says_what_was_old() {
+fn routers_log_departures_and_control_logs_old_announcements() {
     capture_log_lines();
     run_local(async {
         let fleet = Fleet::start().await;
@@ -18,10 +18,13 @@
         fleet.announce(&engine, 8, EngineState::Draining).await;
         wait_until(|| !log_lines_with("engine goes", "engine", &[ENGINE]).is_empty()).await;
     });
-    let went = &log_lines_with("engine goes", "engine", &[ENGINE])[0];
-    assert_eq!((went["state"].as_str(), went["sequence"].as_str()), ("draining", "9"));
-    assert_eq!(went["sent_since"], "0");
-    assert!(went["peer"].contains('#') && went["age_ms"].parse::<u64>().is_ok(), "{went:?}");
+    let departure = &log_lines_with("engine goes", "engine", &[ENGINE])[0];
+    assert_eq!((departure["state"].as_str(), departure["sequence"].as_str()), ("draining", "9"));
+    assert_eq!(departure["sent_since"], "0");
+    assert!(
+        departure["peer"].contains('#') && departure["age_ms"].parse::<u64>().is_ok(),
+        "{departure:?}"
+    );
     let old = &log_lines_with("announcement is old", "engine", &[ENGINE])[0];
     assert_eq!(old["sequence"], "8");
 }
--- a/crates/gateway/tests/fleet/interruption_log.rs
+++ b/crates/gateway/tests/fleet/interruption_log.rs
@@ -1,14 +1,15 @@
-//! The lines that tell afterwards which requests engines broke off, and which of them are the same.
+//! Log lines that show which requests engines interrupted, and which of them are copies of one
+//! another.
 
 use crate::support::lines::{Fields, capture_log_lines, log_lines_of_requests};
 use crate::support::*;
 
-/// Requests of this test alone: the logger is shared by the whole program.
+/// Requests of this test only: all tests of this program share one logger.
 const REQUESTS: [&str; 7] =
     ["lost-1", "lost-2", "lost-3", "broken-1", "broken-2", "ended-1", "ended-2"];
 
 #[test]
-fn a_request_that_comes_again_is_told_from_others() {
+fn fingerprint_identifies_copies_of_a_request() {
     capture_log_lines();
     run_local(async {
         let fleet = Fleet::start().await;
@@ -25,13 +26,13 @@
             fleet.ask(&format!("/plain-stream/{}", point.path_segment()), id).await;
         }
     });
-    let own: Vec<Fields> = log_lines_of_requests("the engine broke off", &REQUESTS);
-    let field = |name: &str| own.iter().map(|line| line[name].clone()).collect::<Vec<_>>();
+    let lines: Vec<Fields> = log_lines_of_requests("the engine broke off", &REQUESTS);
+    let field = |name: &str| lines.iter().map(|line| line[name].clone()).collect::<Vec<_>>();
     assert_eq!(field("request"), REQUESTS);
     let steps = ["head", "head", "head", "stream", "body", "head", "first_event"];
     assert_eq!(field("step"), steps);
     let fingerprints = field("fingerprint");
-    assert_eq!(fingerprints[0], fingerprints[1], "the same, under another id at another router");
+    assert_eq!(fingerprints[0], fingerprints[1], "a copy under another id at another router");
     assert_ne!(fingerprints[0], fingerprints[2]);
-    assert!(own.iter().all(|line| line["engine"].starts_with('e')));
+    assert!(lines.iter().all(|line| line["engine"].starts_with('e')));
 }
--- a/crates/gateway/tests/fleet/load_exchange.rs
+++ b/crates/gateway/tests/fleet/load_exchange.rs
@@ -1,4 +1,4 @@
-//! Routers tell each other over real sockets what they send to engines.
+//! Load updates between routers over real sockets.
 
 use crate::support::*;
 use stackpost_gateway::load_exchange::LoadExchange;
@@ -6,7 +6,7 @@
 use stackpost_types::*;
 use std::net::UdpSocket;
 
-/// More than a machine reads while a test looks.
+/// More than an engine prefills during a test.
 const LONG_PROMPT: Tokens = Tokens(100_000_000);
 
 fn placement() -> Placement {
@@ -21,36 +21,36 @@
 }
 
 #[test]
-fn what_one_router_sends_is_known_to_the_other() {
+fn load_update_reaches_the_other_router() {
     run_local(async {
-        let (teller, listener) = (router(), router());
+        let (sender, receiver) = (router(), router());
         let (from, to) = (free_address(), free_address());
-        let exchange = LoadExchange::start(1, from, teller.clone()).await.expect("started");
-        let _other = LoadExchange::start(2, to, listener.clone()).await.expect("started");
+        let exchange = LoadExchange::start(1, from, sender.clone()).await.expect("started");
+        let _other = LoadExchange::start(2, to, receiver.clone()).await.expect("started");
         exchange.set_peers(&[to]);
         let engine = BackEndName::new("e1");
-        teller.on_placed(&engine, Some(&placement()));
-        wait_until(|| listener.to_read(&engine) > Tokens::ZERO).await;
-        assert!(listener.to_read(&engine) > Tokens(LONG_PROMPT.0 / 2));
+        sender.on_placed(&engine, Some(&placement()));
+        wait_until(|| receiver.to_read(&engine) > Tokens::ZERO).await;
+        assert!(receiver.to_read(&engine) > Tokens(LONG_PROMPT.0 / 2));
     });
 }
 
 #[test]
-fn what_is_no_news_changes_nothing() {
+fn malformed_datagrams_change_nothing() {
     run_local(async {
-        let (teller, listener) = (router(), router());
+        let (sender, receiver) = (router(), router());
         let (from, to) = (free_address(), free_address());
-        let exchange = LoadExchange::start(1, from, teller.clone()).await.expect("started");
-        let _other = LoadExchange::start(2, to, listener.clone()).await.expect("started");
-        let stranger = UdpSocket::bind(free_address()).expect("an address");
+        let exchange = LoadExchange::start(1, from, sender.clone()).await.expect("started");
+        let _other = LoadExchange::start(2, to, receiver.clone()).await.expect("started");
+        let unknown_sender = UdpSocket::bind(free_address()).expect("an address");
         for noise in [&b""[..], b"\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff", &[7; 3_000]] {
-            stranger.send_to(noise, to).expect("sent");
+            unknown_sender.send_to(noise, to).expect("sent");
         }
         exchange.set_peers(&[to]);
         let engine = BackEndName::new("e1");
-        teller.on_placed(&engine, Some(&placement()));
-        // Datagrams of one machine come in the order in which they were sent.
-        wait_until(|| listener.to_read(&engine) > Tokens::ZERO).await;
-        assert_eq!(listener.to_read(&BackEndName::new("e2")), Tokens::ZERO);
+        sender.on_placed(&engine, Some(&placement()));
+        // Datagrams between two sockets on one machine arrive in order.
+        wait_until(|| receiver.to_read(&engine) > Tokens::ZERO).await;
+        assert_eq!(receiver.to_read(&BackEndName::new("e2")), Tokens::ZERO);
     });
 }
--- a/crates/gateway/tests/fleet/main.rs
+++ b/crates/gateway/tests/fleet/main.rs
@@ -1,4 +1,4 @@
-//! A small fleet on loopback sockets: control, routers and stand-ins for engines.
+//! A small fleet on loopback sockets: control, routers and stub engines.
 
 mod backoff;
 mod budgets;
--- a/crates/gateway/tests/fleet/rate_log.rs
+++ b/crates/gateway/tests/fleet/rate_log.rs
@@ -1,4 +1,4 @@
-//! The line that tells afterwards which rate an engine stated, when, and under which request.
+//! Log line that shows which rate limit an engine stated, when, and for which request.
 
 use crate::support::lines::{capture_log_lines, log_lines_of_requests};
 use crate::support::*;
@@ -6,11 +6,11 @@
 const REQUESTS: [&str; 3] = ["rate-1", "rate-2", "rate-3"];
 
 #[test]
-fn a_stated_rate_stands_in_a_line_as_it_begins_changes_and_ends() {
+fn changes_of_a_stated_rate_are_logged() {
     capture_log_lines();
     run_local(async {
         let fleet = Fleet::start().await;
-        fleet.set_behaviours(Behaviour::Answer, Behaviour::Full);
+        fleet.set_behaviours(Behaviour::Respond, Behaviour::Full);
         for (rate, id) in [Some(200.0), Some(100.5), None].into_iter().zip(REQUESTS) {
             fleet.engines[0].rate.set(rate);
             while fleet.ask("/once/1", id).await.status != 200 {}
--- a/crates/gateway/tests/fleet/rejection_log.rs
+++ b/crates/gateway/tests/fleet/rejection_log.rs
@@ -1,5 +1,5 @@
-//! The line that tells afterwards what an engine asked for as it turned a request away, and whether the
-//! router knew of an earlier wish.
+//! Log line that shows what an engine asked for when it rejected a request, and whether the router
+//! knew of an earlier directive.
 
 use crate::support::lines::{capture_log_lines, log_lines_of_requests};
 use crate::support::*;
@@ -8,7 +8,7 @@
 const REQUESTS: [&str; 2] = ["away-1", "away-2"];
 
 #[test]
-fn what_an_engine_asks_for_stands_in_the_line() {
+fn rejections_and_backoffs_are_logged() {
     capture_log_lines();
     run_local(async {
         let fleet = Fleet::start().await;
@@ -20,12 +20,18 @@
         }
     });
     let lines = log_lines_of_requests("attempt failed: not run", &REQUESTS);
-    let asked =
-        lines.iter().find(|line| line["engine"] == "e1").expect("it was asked first or second");
-    assert_eq!(asked["rest_ms"], "3000");
-    assert_eq!((asked["status"].as_str(), asked["standing"].as_str()), ("503", "good"));
-    assert!(asked["turned_away_before_ms"].parse::<u64>().is_err(), "it was the first time");
-    let again =
-        lines.iter().filter(|line| line["engine"] == "e2").nth(1).expect("it asked for no rest");
-    assert!(again["turned_away_before_ms"].parse::<u64>().is_ok(), "{again:?}");
+    let rejection =
+        lines.iter().find(|line| line["engine"] == "e1").expect("e1 rejected one of the requests");
+    assert_eq!(rejection["rest_ms"], "3000");
+    assert_eq!((rejection["status"].as_str(), rejection["standing"].as_str()), ("503", "good"));
+    assert!(rejection["turned_away_before_ms"].parse::<u64>().is_err(), "its first rejection");
+    let second_rejection = lines
+        .iter()
+        .filter(|line| line["engine"] == "e2")
+        .nth(1)
+        .expect("e2 asked for no backoff and rejected both requests");
+    assert!(
+        second_rejection["turned_away_before_ms"].parse::<u64>().is_ok(),
+        "{second_rejection:?}"
+    );
 }
--- a/crates/gateway/tests/fleet/requests.rs
+++ b/crates/gateway/tests/fleet/requests.rs
@@ -1,4 +1,4 @@
-//! Requests through a router on real sockets.
+//! Requests through a router over real sockets.
 
 use crate::support::*;
 use stackpost_coordinator::{AnnouncementError, PutReply};
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 #[test]
-fn an_answer_comes_back_unchanged_and_the_key_stays_here() {
+fn response_is_unchanged_and_the_key_is_not_forwarded() {
     run_local(async {
         let fleet = Fleet::start().await;
         let got = fleet.ask("/once/1", "a").await;
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn unknown_routes_and_keys_are_refused_without_an_engine() {
+fn unknown_routes_and_keys_reach_no_engine() {
     run_local(async {
         let fleet = Fleet::start().await;
         assert_eq!(fleet.ask("/nowhere/1", "a").await.status, 404);
@@ -32,25 +32,26 @@
 }
 
 #[test]
-fn what_may_have_run_is_never_sent_again_unless_it_may_repeat() {
-    for behaviour in [Behaviour::DropConnection, Behaviour::AnswerOtherRequest, Behaviour::Truncate]
+fn non_idempotent_request_that_may_have_run_is_not_retried() {
+    for behaviour in
+        [Behaviour::DropConnection, Behaviour::RespondToOtherRequest, Behaviour::Truncate]
     {
         run_local(async move {
             let fleet = Fleet::start().await;
             fleet.set_behaviours(behaviour, behaviour);
             let got = fleet.ask("/once/1", "a").await;
             assert_eq!(got.status, 502, "{behaviour:?}");
-            assert!(got.body.expect("whole").contains("\"unknown\""));
+            assert!(got.body.expect("a complete body").contains("\"unknown\""));
             assert_eq!(fleet.runs(), 1, "{behaviour:?}");
         });
     }
 }
 
 #[test]
-fn what_may_repeat_is_sent_to_another_engine_once() {
+fn idempotent_request_is_retried_once_at_another_engine() {
     for behaviour in [
         Behaviour::DropConnection,
-        Behaviour::AnswerOtherRequest,
+        Behaviour::RespondToOtherRequest,
         Behaviour::Truncate,
         Behaviour::ServerError,
     ] {
@@ -60,8 +61,8 @@
             let got = fleet.ask("/again/1", "a").await;
             let expected = if behaviour == Behaviour::ServerError { 500 } else { 502 };
             assert_eq!(got.status, expected, "{behaviour:?}");
-            assert_eq!(fleet.runs(), 2, "at most two attempts, {behaviour:?}");
-            fleet.set_behaviours(behaviour, Behaviour::Answer);
+            assert_eq!(fleet.runs(), 2, "two attempts, {behaviour:?}");
+            fleet.set_behaviours(behaviour, Behaviour::Respond);
             for number in 0..6 {
                 let got = fleet.ask("/again/1", &format!("b{number}")).await;
                 assert_eq!(got.status, 200, "{behaviour:?}");
@@ -71,39 +72,39 @@
 }
 
 #[test]
-fn engines_that_turn_a_request_away_prove_that_it_did_not_run() {
+fn rejected_request_counts_as_not_run() {
     run_local(async {
         let fleet = Fleet::start().await;
         fleet.set_behaviours(Behaviour::Full, Behaviour::Full);
         let got = fleet.ask("/once/1", "a").await;
         assert_eq!(got.status, 503);
         assert!(got.headers.contains_key("retry-after"));
-        assert!(got.body.expect("whole").contains("\"not_run\""));
+        assert!(got.body.expect("a complete body").contains("\"not_run\""));
         assert_eq!(fleet.runs(), 0);
-        fleet.set_behaviours(Behaviour::Full, Behaviour::Answer);
+        fleet.set_behaviours(Behaviour::Full, Behaviour::Respond);
         assert_eq!(fleet.ask("/once/1", "b").await.status, 200);
     });
 }
 
 #[test]
-fn a_resumable_stream_goes_on_at_another_engine_without_a_seam() {
+fn interrupted_stream_resumes_seamlessly_at_another_engine() {
     run_local(async {
         let fleet = Fleet::start().await;
-        fleet.set_behaviours(Behaviour::Truncate, Behaviour::Answer);
+        fleet.set_behaviours(Behaviour::Truncate, Behaviour::Respond);
         for number in 0..6 {
             let got = fleet.ask("/stream/1", &format!("s{number}")).await;
             assert_eq!(got.status, 200);
             assert_eq!(got.body, Ok(all_events()));
         }
         let resumed = fleet.engines[1].runs.borrow().iter().any(|(_, after)| *after == Some(3));
-        assert!(resumed, "the second engine was asked to go on after the third event");
+        assert!(resumed, "the second engine resumed after the third event");
     });
 }
 
-/// What a request believes of an engine belongs to one life of it: the next one under the same id may take
-/// the stream up, though the request was sent to that id before.
+/// The record of tried engines applies to one incarnation: the next one under the same id may
+/// resume the stream, though the request was sent to that id before.
 #[test]
-fn a_stream_goes_on_at_the_next_life_of_its_engine() {
+fn stream_resumes_at_the_next_incarnation_of_its_engine() {
     run_local(async {
         let fleet = Fleet::start().await;
         let engine = fleet.engines[0].clone();
@@ -112,12 +113,13 @@
         engine.behaviour.set(Behaviour::Stall);
         let restart = async {
             wait_until(|| fleet.runs() == 1).await;
-            engine.behaviour.set(Behaviour::Answer);
+            engine.behaviour.set(Behaviour::Respond);
             let next = BackEndName::of_incarnation(engine.name.id(), Some(7));
             let notice = fleet.notice(&engine, 1, EngineState::Ready);
             let next = EngineNotice { engine: next, ..notice };
             fleet.control.announce(next).await.expect("an engine");
-            // What control says later has come once the router knows this one and has forgotten it again.
+            // Updates arrive in order: once the router has learned of this engine and removed it
+            // again, it has also received the next incarnation.
             let other = fleet.notice(&fleet.engines[1], 1, EngineState::Ready);
             fleet
                 .control
@@ -131,12 +133,12 @@
         };
         let (got, ()) = tokio::join!(fleet.ask("/stream/1", "s"), restart);
         assert_eq!(got.body, Ok(all_events()));
-        assert_eq!(engine.runs.borrow().len(), 2, "once in each life");
+        assert_eq!(engine.runs.borrow().len(), 2, "one run in each incarnation");
     });
 }
 
 #[test]
-fn a_stream_that_breaks_off_does_not_look_complete() {
+fn interrupted_stream_does_not_look_complete() {
     run_local(async {
         let fleet = Fleet::start().await;
         fleet.set_behaviours(Behaviour::Truncate, Behaviour::Truncate);
@@ -147,20 +149,20 @@
 }
 
 #[test]
-fn a_caller_that_leaves_ends_the_run() {
+fn caller_disconnect_cancels_the_request() {
     run_local(async {
         let fleet = Fleet::start().await;
         fleet.set_behaviours(Behaviour::Hang, Behaviour::Hang);
         let asking = fleet.ask("/once/1", "a");
         let left = tokio::time::timeout(Duration::from_millis(200), asking).await;
-        assert!(left.is_err(), "the engine does not answer");
+        assert!(left.is_err(), "the engine sends no response");
         let router = fleet.router.clone();
         wait_until(|| router.in_flight_requests() == 0).await;
     });
 }
 
 #[test]
-fn a_body_that_is_too_long_is_refused() {
+fn too_large_body_is_refused() {
     run_local(async {
         let fleet = Fleet::start().await;
         let headers = [("id", "a"), ("key", "ferry-key"), ("content-length", "5000")];
@@ -170,21 +172,21 @@
 }
 
 #[test]
-fn a_prepaid_budget_is_spent_to_its_end_and_never_beyond() {
+fn prepaid_budget_is_exhausted_but_never_exceeded() {
     run_local(async {
         let fleet = Fleet::start().await;
         let cost = PROMPT + 8 * TOKENS_PER_EVENT;
         let mut served = 0;
-        let mut refused_in_a_row = 0;
-        while refused_in_a_row < 8 {
-            let got = fleet.generate(&format!("g{served}-{refused_in_a_row}")).await;
+        let mut consecutive_refusals = 0;
+        while consecutive_refusals < 8 {
+            let got = fleet.generate(&format!("g{served}-{consecutive_refusals}")).await;
             if got.status == 200 {
                 served += 1;
-                refused_in_a_row = 0;
+                consecutive_refusals = 0;
             } else {
                 assert_eq!(got.status, 429);
                 assert!(got.headers.contains_key("retry-after"));
-                refused_in_a_row += 1;
+                consecutive_refusals += 1;
             }
         }
         assert!(served * cost <= PREPAID, "{served} requests of {cost}");
@@ -193,7 +195,7 @@
 }
 
 #[test]
-fn an_announcement_that_names_no_engine_of_the_fleet_changes_nothing() {
+fn announcements_of_unknown_engines_change_nothing() {
     run_local(async {
         let fleet = Fleet::start().await;
         let genuine = fleet.notice(&fleet.engines[0], 2, EngineState::Ready);
@@ -212,7 +214,7 @@
 }
 
 #[test]
-fn an_engine_that_drains_gets_nothing_new() {
+fn draining_engine_receives_no_new_requests() {
     run_local(async {
         let fleet = Fleet::start().await;
         fleet.announce(&fleet.engines[0], 2, EngineState::Draining).await;
@@ -225,7 +227,7 @@
 }
 
 #[test]
-fn a_newer_configuration_reaches_the_router_and_an_older_one_changes_nothing() {
+fn only_newer_configurations_are_applied() {
     run_local(async {
         let fleet = Fleet::start().await;
         assert_eq!(fleet.control.put_document(b"3".as_slice().into()).await, PutReply::Accepted);
@@ -240,18 +242,18 @@
 }
 
 #[test]
-fn a_planned_stop_ends_what_is_under_way_and_gives_the_budget_back() {
+fn planned_shutdown_completes_requests_and_returns_tokens() {
     run_local(async {
         let fleet = Fleet::start().await;
         assert_eq!(fleet.generate("g1").await.status, 200);
         fleet.router.begin_drain();
         assert!(!fleet.router.is_ready());
         let got = fleet.ask("/once/1", "late").await;
-        assert_eq!(got.status, 200, "callers that still come are served");
+        assert_eq!(got.status, 200, "callers that still connect are served");
         assert_eq!(got.headers["connection"], "close");
         fleet.server.drain(Duration::from_secs(8)).await;
         let got = fleet.ask("/once/1", "too-late").await;
-        assert_eq!(got.status, 503, "a stream that begins now might be cut off");
+        assert_eq!(got.status, 503, "a stream that starts now might be cut off");
         assert_eq!(fleet.runs(), 2);
         fleet.link.report_final_usage(Duration::from_secs(5)).await;
     });
--- a/crates/gateway/tests/fleet/support/engine.rs
+++ b/crates/gateway/tests/fleet/support/engine.rs
@@ -1,4 +1,4 @@
-//! A stand-in for an engine, which can fail in every way that an attempt tells apart.
+//! A stub engine that can fail in every way that an attempt distinguishes.
 
 use bytes::Bytes;
 use futures::StreamExt;
@@ -16,60 +16,61 @@
 use tokio::net::TcpListener;
 use tokio::task::AbortHandle;
 
-/// What an engine does with a request.
+/// How an engine handles a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Behaviour {
-    Answer,
-    /// Turns the request away.
+    Respond,
+    /// Rejects the request.
     Full,
-    /// Runs it and closes the connection without an answer.
+    /// Runs it and closes the connection without a response.
     DropConnection,
-    /// Loses three of ten runs, by a lot that its name and their number decide.
+    /// Closes the connection in three of ten runs, decided by a hash of its name and the number of
+    /// the run.
     DropSomeConnections,
-    /// Runs it and answers with an error of its own.
+    /// Runs it and responds with an error of its own.
     ServerError,
-    /// Runs it and answers another request.
-    AnswerOtherRequest,
-    /// Breaks the answer off in its middle.
+    /// Runs it and sends a response to another request.
+    RespondToOtherRequest,
+    /// Interrupts the response in the middle.
     Truncate,
-    /// Runs it and says nothing.
+    /// Runs it and sends nothing.
     Hang,
-    /// Begins a stream and says nothing more.
+    /// Starts a stream and sends nothing more.
     Stall,
 }
 
-/// A stand-in for an engine.
+/// A stub engine.
 pub struct Engine {
     pub name: BackEndName,
     pub address: SocketAddr,
     pub behaviour: Cell<Behaviour>,
-    /// Ids of the requests that it has run, with the event they were to go on after.
+    /// Ids of the requests that it ran, with the event after which each was to resume.
     pub runs: RefCell<Vec<(String, Option<u64>)>>,
-    /// When requests came that it turned away.
-    pub turned_away: RefCell<Vec<Instant>>,
-    /// Rest that it asks for as it turns a request away.
+    /// When rejected requests arrived.
+    pub rejected_at: RefCell<Vec<Instant>>,
+    /// Backoff that it asks for when it rejects a request.
     pub backoff: Cell<Option<Duration>>,
-    /// The requests a second that it says in its answers it takes.
+    /// The rate limit that it states in its responses, in requests per second.
     pub rate: Cell<Option<f64>>,
-    /// When requests came, whatever became of them.
+    /// When requests arrived, whatever their result.
     pub arrivals: RefCell<Vec<Instant>>,
-    /// Whether it says in its answers that it leaves.
+    /// Whether it announces its departure in its responses.
     pub leaving: Cell<bool>,
-    /// Keys that were shown to it.
+    /// Number of requests that carried a caller's key.
     pub keys_seen: Cell<usize>,
-    /// Whether its process has ended.
+    /// Whether it has crashed.
     pub has_crashed: Cell<bool>,
-    /// Its listener and its connections, which end with it.
+    /// Tasks of its listener, which is the first, and of its connections.
     tasks: RefCell<Vec<AbortHandle>>,
 }
 
-/// Time for the server of a stand-in to write what it has before it breaks off.
+/// Time for the server to flush what it has written before the connection is interrupted.
 const FLUSH_TIME: Duration = Duration::from_millis(20);
 const EVENTS: u64 = 8;
-/// More than a router gathers.
-const LARGE: &[u8] = &[b'x'; 300 * 1024];
-/// Events before a break.
-const EVENTS_BEFORE_BREAK: u64 = 3;
+/// A body larger than a router buffers.
+const LARGE_BODY: &[u8] = &[b'x'; 300 * 1024];
+/// Number of events before an interruption.
+const EVENTS_BEFORE_INTERRUPTION: u64 = 3;
 
 type EngineBody = http_body_util::combinators::UnsyncBoxBody<Bytes, std::io::Error>;
 
@@ -79,9 +80,9 @@
         let engine = Rc::new(Self {
             name: BackEndName::new(name),
             address: listener.local_addr().expect("an address"),
-            behaviour: Cell::new(Behaviour::Answer),
+            behaviour: Cell::new(Behaviour::Respond),
             runs: RefCell::default(),
-            turned_away: RefCell::default(),
+            rejected_at: RefCell::default(),
             backoff: Cell::new(None),
             rate: Cell::new(None),
             arrivals: RefCell::default(),
@@ -95,32 +96,33 @@
             loop {
                 let (stream, _) = listener.accept().await.expect("accepted");
                 let engine = serving.clone();
-                let answering = tokio::task::spawn_local(async move {
-                    let service = service_fn(move |request| engine.clone().answer(request));
+                let serving_connection = tokio::task::spawn_local(async move {
+                    let service = service_fn(move |request| engine.clone().respond(request));
                     let _ = hyper::server::conn::http1::Builder::new()
                         .serve_connection(TokioIo::new(stream), service)
                         .await;
                 });
-                serving.tasks.borrow_mut().push(answering.abort_handle());
+                serving.tasks.borrow_mut().push(serving_connection.abort_handle());
             }
         });
         engine.tasks.borrow_mut().push(listening.abort_handle());
         engine
     }
 
-    /// Breaks all its connections, as the end of its process does; it listens on as its next life.
+    /// Closes all connections, as a restart of its process does; the listener continues as the next
+    /// incarnation.
     pub fn restart(&self) {
         let listener_first = self.tasks.borrow();
         listener_first.iter().skip(1).for_each(AbortHandle::abort);
     }
 
-    /// Ends the engine's process: all its connections break and its address refuses new ones.
+    /// Simulates a crash: all connections are closed and new ones refused.
     pub fn crash(&self) {
         self.tasks.borrow().iter().for_each(AbortHandle::abort);
         self.has_crashed.set(true);
     }
 
-    async fn answer(
+    async fn respond(
         self: Rc<Self>,
         request: Request<Incoming>,
     ) -> Result<Response<EngineBody>, std::io::Error> {
@@ -136,31 +138,31 @@
         self.arrivals.borrow_mut().push(Instant::now());
         let behaviour = self.behaviour.get();
         if behaviour == Behaviour::Full {
-            return Ok(self.turn_away(id));
+            return Ok(self.reject(id));
         }
         self.runs.borrow_mut().push((id.clone(), after));
         let streams = request.uri().path().contains("stream");
         if let Some(point) = CrashPoint::of(request.uri().path()) {
             return self.crash_at(point, id).await;
         }
-        let answered =
-            if behaviour == Behaviour::AnswerOtherRequest { "other".to_string() } else { id };
-        let head = self.head(answered).header("signature", "s");
+        let response_id =
+            if behaviour == Behaviour::RespondToOtherRequest { "other".to_string() } else { id };
+        let head = self.head(response_id).header("signature", "s");
         let head = if self.leaving.get() { head.header("leaving", "1") } else { head };
         let response = match behaviour {
-            Behaviour::DropSomeConnections if self.is_lost() => {
+            Behaviour::DropSomeConnections if self.drops_connection() => {
                 return Err(std::io::ErrorKind::ConnectionReset.into());
             }
             Behaviour::DropConnection => return Err(std::io::ErrorKind::ConnectionReset.into()),
             Behaviour::Hang => std::future::pending().await,
             Behaviour::Stall => {
-                let begun = futures::stream::iter(first_events(0, EVENTS_BEFORE_BREAK));
-                let body = StreamBody::new(begun.chain(futures::stream::pending()));
+                let first = futures::stream::iter(first_events(0, EVENTS_BEFORE_INTERRUPTION));
+                let body = StreamBody::new(first.chain(futures::stream::pending()));
                 head.header("content-type", "text/event-stream").body(body.boxed_unsync())
             }
-            Behaviour::ServerError => head.status(500).body(whole("own error")),
+            Behaviour::ServerError => head.status(500).body(complete_body("own error")),
             Behaviour::Truncate if !streams => {
-                head.header("content-length", "9").body(broken(vec![
+                head.header("content-length", "9").body(interrupted_body(vec![
                     Ok(Frame::data(Bytes::from_static(b"half"))),
                     Err(std::io::ErrorKind::ConnectionReset.into()),
                 ]))
@@ -168,20 +170,20 @@
             _ if streams => head
                 .header("content-type", "text/event-stream")
                 .body(events(after.unwrap_or(0), behaviour == Behaviour::Truncate)),
-            _ => head.header("x-own", "kept").body(whole("an answer")),
+            _ => head.header("x-own", "kept").body(complete_body("an answer")),
         };
         Ok(response.expect("a response"))
     }
 }
 
-/// How far the answer to a request that ends its engine comes before it does. A path that holds the
-/// word for it asks for it, whatever the engine's behaviour.
+/// How far the response has progressed when the engine crashes. A path that contains the segment
+/// causes the crash, whatever the engine's behaviour.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CrashPoint {
     BeforeHead,
     BeforeFirstEvent,
     AfterEvents,
-    /// In the middle of an answer that is too large to be gathered.
+    /// In the middle of a response that is too large to be buffered.
     InLargeAnswer,
 }
 
@@ -189,7 +191,7 @@
     pub const ALL: [Self; 4] =
         [Self::BeforeHead, Self::BeforeFirstEvent, Self::AfterEvents, Self::InLargeAnswer];
 
-    /// The word in the path.
+    /// The path segment that causes the crash.
     pub fn path_segment(self) -> &'static str {
         match self {
             Self::BeforeHead => "crash-before-head",
@@ -205,7 +207,7 @@
 }
 
 impl Engine {
-    /// Runs a request under which this engine ends.
+    /// Runs a request under which this engine crashes.
     async fn crash_at(
         self: Rc<Self>,
         point: CrashPoint,
@@ -219,8 +221,8 @@
         let events = match point {
             CrashPoint::BeforeHead => return std::future::pending().await,
             CrashPoint::BeforeFirstEvent => Vec::new(),
-            CrashPoint::AfterEvents => first_events(0, EVENTS_BEFORE_BREAK),
-            CrashPoint::InLargeAnswer => vec![Ok(Frame::data(LARGE.into()))],
+            CrashPoint::AfterEvents => first_events(0, EVENTS_BEFORE_INTERRUPTION),
+            CrashPoint::InLargeAnswer => vec![Ok(Frame::data(LARGE_BODY.into()))],
         };
         let unfinished = futures::stream::iter(events).chain(futures::stream::pending());
         let head = Response::builder().header("id", id).header("signature", "s");
@@ -233,13 +235,13 @@
 }
 
 impl Engine {
-    /// Whether the connection of the run that has just begun breaks.
-    fn is_lost(&self) -> bool {
+    /// Whether the connection of the current run is closed.
+    fn drops_connection(&self) -> bool {
         let run = self.runs.borrow().len().to_le_bytes();
         Digest::of(&[self.name.as_str().as_bytes(), &run]).to_u64() % 10 < 3
     }
 
-    /// The head of every answer.
+    /// The common head of all responses.
     fn head(&self, id: String) -> Builder {
         let head = Response::builder().header("id", id);
         match self.rate.get() {
@@ -248,23 +250,23 @@
         }
     }
 
-    fn turn_away(&self, id: String) -> Response<EngineBody> {
-        self.turned_away.borrow_mut().push(Instant::now());
+    fn reject(&self, id: String) -> Response<EngineBody> {
+        self.rejected_at.borrow_mut().push(Instant::now());
         let refusal = self.head(id).status(503).header("not-run", "1");
         let refusal = match self.backoff.get() {
             Some(backoff) => refusal.header("rest", backoff.as_millis().to_string()),
             None => refusal,
         };
-        refusal.body(whole("")).expect("a response")
+        refusal.body(complete_body("")).expect("a response")
     }
 }
 
-fn whole(text: &'static str) -> EngineBody {
+fn complete_body(text: &'static str) -> EngineBody {
     Full::new(Bytes::from_static(text.as_bytes())).map_err(|never| match never {}).boxed_unsync()
 }
 
-/// Pieces go out before an error closes the connection.
-fn broken(frames: Vec<Result<Frame<Bytes>, std::io::Error>>) -> EngineBody {
+/// Sends the frames before an error closes the connection.
+fn interrupted_body(frames: Vec<Result<Frame<Bytes>, std::io::Error>>) -> EngineBody {
     let paced = futures::stream::iter(frames).then(|frame| async move {
         if frame.is_err() {
             tokio::time::sleep(FLUSH_TIME).await;
@@ -281,18 +283,18 @@
         .collect()
 }
 
-fn events(after: u64, breaks: bool) -> EngineBody {
-    let last = if breaks { after + EVENTS_BEFORE_BREAK } else { EVENTS };
+fn events(after: u64, is_interrupted: bool) -> EngineBody {
+    let last = if is_interrupted { after + EVENTS_BEFORE_INTERRUPTION } else { EVENTS };
     let mut frames = first_events(after, last);
-    if breaks {
-        // A piece of an event that must never be passed on.
+    if is_interrupted {
+        // A partial event, which must never be forwarded.
         frames.push(Ok(Frame::data(Bytes::from(format!("id: {}\nda", last + 1)))));
         frames.push(Err(std::io::ErrorKind::ConnectionReset.into()));
     }
-    broken(frames)
+    interrupted_body(frames)
 }
 
-/// The whole text of a stream.
+/// The complete text of a stream.
 pub fn all_events() -> String {
     (1..=EVENTS).map(|id| format!("id: {id}\ndata: piece {id}\n\n")).collect()
 }
--- a/crates/gateway/tests/fleet/support/lines.rs
+++ b/crates/gateway/tests/fleet/support/lines.rs
@@ -1,10 +1,10 @@
-//! Keeps the log lines of all tests of this program, which share one logger.
+//! Captures the log lines of all tests of this program, which share one logger.
 
 use log::kv::{Error, Key, Value, VisitSource};
 use std::collections::BTreeMap;
 use std::sync::{Mutex, Once, PoisonError};
 
-/// A line by its fields.
+/// The fields of a log line.
 pub type Fields = BTreeMap<String, String>;
 
 struct Lines(Mutex<Vec<(String, Fields)>>);
@@ -12,9 +12,9 @@
 static LINES: Lines = Lines(Mutex::new(Vec::new()));
 static STARTED: Once = Once::new();
 
-struct Collect(Fields);
+struct FieldCollector(Fields);
 
-impl<'kvs> VisitSource<'kvs> for Collect {
+impl<'kvs> VisitSource<'kvs> for FieldCollector {
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), Error> {
         self.0.insert(key.to_string(), value.to_string());
         Ok(())
@@ -27,8 +27,8 @@
     }
 
     fn log(&self, record: &log::Record<'_>) {
-        let mut fields = Collect(Fields::new());
-        record.key_values().visit(&mut fields).expect("fields can be shown");
+        let mut fields = FieldCollector(Fields::new());
+        record.key_values().visit(&mut fields).expect("fields can be formatted");
         let line = (record.args().to_string(), fields.0);
         self.0.lock().unwrap_or_else(PoisonError::into_inner).push(line);
     }
@@ -36,7 +36,7 @@
     fn flush(&self) {}
 }
 
-/// Keeps lines from now on.
+/// Starts to capture log lines.
 pub fn capture_log_lines() {
     STARTED.call_once(|| {
         log::set_logger(&LINES).expect("no other logger");
@@ -44,16 +44,16 @@
     });
 }
 
-/// The lines with a message about these requests, in their order.
+/// Lines with a message about these requests, in order.
 pub fn log_lines_of_requests(message: &str, requests: &[&str]) -> Vec<Fields> {
     log_lines_with(message, "request", requests)
 }
 
-/// The lines with a message whose `field` has one of these values, in their order.
+/// Lines with a message whose `field` has one of these values, in order.
 pub fn log_lines_with(message: &str, field: &str, values: &[&str]) -> Vec<Fields> {
     let lines = LINES.0.lock().unwrap_or_else(PoisonError::into_inner);
-    let is_meant =
+    let matches_field =
         |fields: &Fields| fields.get(field).is_some_and(|value| values.contains(&value.as_str()));
-    let wanted = lines.iter().filter(|(said, fields)| said == message && is_meant(fields));
-    wanted.map(|(_, fields)| fields.clone()).collect()
+    let matching = lines.iter().filter(|(text, fields)| text == message && matches_field(fields));
+    matching.map(|(_, fields)| fields.clone()).collect()
 }
--- a/crates/gateway/tests/fleet/support/mod.rs
+++ b/crates/gateway/tests/fleet/support/mod.rs
@@ -26,36 +26,36 @@
 use tokio::net::TcpStream;
 
 pub const PREPAID: u64 = 10_000;
-/// Tokens of the prompt and most generated of every generation in the tests.
+/// Prompt tokens and maximum generated tokens of every generation in the tests.
 pub const PROMPT: u64 = 100;
 pub const MAX_GENERATED: u64 = 50;
 pub const TOKENS_PER_EVENT: u64 = 5;
 const KEY: &str = "ferry-key";
-/// Conditions are looked at this often; a test that waits for ever is ended by its runner.
-const LOOK: Duration = Duration::from_millis(5);
+/// Polling interval of conditions; a test that never ends is stopped by its runner.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What a caller gets.
+/// A response as received by a caller.
 #[derive(Debug)]
 pub struct CallerResponse {
     pub status: StatusCode,
     pub headers: HeaderMap,
-    /// The body, if it came in whole.
+    /// The body, if it was received completely.
     pub body: Result<String, String>,
 }
 
-/// A router on a machine of its own.
+/// A router on its own machine.
 pub struct RouterMachine {
     pub router: Rc<Router>,
     pub link: Rc<FleetLink>,
     pub server: Rc<Server>,
-    /// Where it takes callers.
+    /// Where it accepts callers.
     pub callers: SocketAddr,
-    /// Its machine's clock.
+    /// The clock of its machine.
     pub clock: MachineClock,
 }
 
 impl RouterMachine {
-    /// Starts a router that looks for control at `control`.
+    /// Starts a router with control at `control`.
     pub async fn start(control: SocketAddr) -> Self {
         let clock = MachineClock::default();
         let router = router_at(clock.clone());
@@ -67,18 +67,18 @@
         Self { router, link, server, callers, clock }
     }
 
-    /// Waits until it serves and knows `engines` engines that take work.
+    /// Waits until it is ready and knows `engines` ready engines.
     pub async fn ready(&self, engines: usize) {
         wait_until(|| self.router.is_ready() && self.router.is_connected_to_leader()).await;
         wait_until(|| self.router.ready_engine_count() == engines).await;
     }
 
-    /// Asks as a caller does, over a connection of its own.
+    /// Sends a request over a new connection.
     pub async fn ask(&self, path: &str, id: &str) -> CallerResponse {
         ask_as_caller(self.callers, path, id).await
     }
 
-    /// Asks for a generation, which costs tokens.
+    /// Requests a generation, which costs tokens.
     pub async fn generate(&self, id: &str) -> CallerResponse {
         generate_at(self.callers, id).await
     }
@@ -89,13 +89,13 @@
     pub control: ControlNode,
     /// Where it accepts connections of the fleet.
     pub address: SocketAddr,
-    /// What it tells of itself.
+    /// Its metrics.
     pub metrics_registry: MetricsRegistry,
     pub folder: tempfile::TempDir,
 }
 
 impl ControlMachine {
-    /// Starts a control process of a new group, which votes together with `others`.
+    /// Starts a control process of a new group, which has `others` as further voters.
     pub async fn start(others: &[&str]) -> Self {
         let folder = tempfile::tempdir().expect("a folder");
         let address = free_address();
@@ -136,23 +136,23 @@
     pub callers: SocketAddr,
     /// The clock of the router's machine.
     pub clock: MachineClock,
-    /// What control tells of itself.
+    /// Metrics of the control process.
     pub control_metrics: MetricsRegistry,
     control_address: SocketAddr,
     _folder: tempfile::TempDir,
 }
 
-/// First of the ports that are tried. All of them lie below those that the system gives to outgoing
-/// connections: one of these could take a port between the look here and its use.
+/// First port that is tried. All of them lie below the system's range for outgoing connections: one
+/// of these could take a port between the check here and its use.
 const FIRST_PORT: u16 = 15_000;
-/// Ports that one test process may use.
+/// Number of ports per test process.
 const PORTS_PER_PROCESS: u16 = 320;
-/// Test processes that are told apart.
+/// Number of test processes with separate ports.
 const PROCESSES: u32 = 50;
 
 static NEXT_PORT: AtomicU16 = AtomicU16::new(0);
 
-/// An address at which nobody listens and that no other test of this process is given.
+/// An unused address that no other test of this process is given.
 pub fn free_address() -> SocketAddr {
     let block = (std::process::id() % PROCESSES) as u16 * PORTS_PER_PROCESS;
     loop {
@@ -171,7 +171,7 @@
     PeerInfo { node, role, zone: "hall".into(), listen_address }
 }
 
-/// A router that knows nothing yet.
+/// A router without configuration or engines.
 pub fn router() -> Rc<Router> {
     router_at(MachineClock::default())
 }
@@ -189,12 +189,12 @@
 /// Waits until `condition` holds.
 pub async fn wait_until(mut condition: impl FnMut() -> bool) {
     while !condition() {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
 impl Fleet {
-    /// Starts everything and waits until the router is ready.
+    /// Starts the fleet and waits until the router is ready.
     pub async fn start() -> Self {
         let ControlMachine { control, address: mesh, metrics_registry: control_metrics, folder } =
             ControlMachine::start(&[]).await;
@@ -220,27 +220,27 @@
 
     async fn make_ready(&self) {
         while self.control.put_document(b"1".as_slice().into()).await != PutReply::Accepted {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         for engine in &self.engines {
             self.announce(engine, 1, EngineState::Ready).await;
         }
         let router = self.router.clone();
         wait_until(|| router.is_ready() && router.is_connected_to_leader()).await;
-        // The first request brings both engines to the router's knowledge for certain.
+        // `is_ready` requires only one engine; tests need both.
         wait_until(|| self.router.ready_engine_count() == self.engines.len()).await;
     }
 
     pub async fn announce(&self, engine: &Engine, sequence: u64, state: EngineState) {
-        self.control.announce(self.notice(engine, sequence, state)).await.expect("taken");
+        self.control.announce(self.notice(engine, sequence, state)).await.expect("accepted");
     }
 
-    /// An engine leaves, and hears that this is known.
+    /// Announces the departure of an engine and waits for the acknowledgement.
     pub async fn leave(&self, id: &str) {
         self.control.engine_left(id, None).await.expect("acknowledged");
     }
 
-    /// What an engine says of itself.
+    /// The announcement of an engine.
     pub fn notice(&self, engine: &Engine, sequence: u64, state: EngineState) -> EngineNotice {
         notice_of(engine, sequence, state)
     }
@@ -250,17 +250,17 @@
         self.engines[1].behaviour.set(second);
     }
 
-    /// Runs at both engines.
+    /// Number of runs at both engines.
     pub fn runs(&self) -> usize {
         self.engines.iter().map(|engine| engine.runs.borrow().len()).sum()
     }
 
-    /// Asks as a caller does, over a connection of its own.
+    /// Sends a request over a new connection.
     pub async fn ask(&self, path: &str, id: &str) -> CallerResponse {
         self.ask_with(path, &[("id", id), ("key", KEY)]).await
     }
 
-    /// Asks for a generation, which costs tokens.
+    /// Requests a generation, which costs tokens.
     pub async fn generate(&self, id: &str) -> CallerResponse {
         generate_at(self.callers, id).await
     }
@@ -269,13 +269,13 @@
         ask_at(self.callers, path, headers).await
     }
 
-    /// A further router.
+    /// Adds a router to the fleet.
     pub async fn add_router(&self) -> RouterMachine {
         RouterMachine::start(self.control_address).await
     }
 }
 
-/// What an engine says of itself.
+/// The announcement of an engine.
 pub fn notice_of(engine: &Engine, sequence: u64, state: EngineState) -> EngineNotice {
     EngineNotice {
         engine: engine.name.clone(),
@@ -290,7 +290,7 @@
     }
 }
 
-/// Asks the router that takes callers at `callers`, over a connection of its own.
+/// Sends a request to the router that accepts callers at `callers`, over a new connection.
 pub async fn ask_as_caller(callers: SocketAddr, path: &str, id: &str) -> CallerResponse {
     ask_at(callers, path, &[("id", id), ("key", KEY)]).await
 }
@@ -309,7 +309,7 @@
         request = request.header(*name, *value);
     }
     let request = request.body(Full::new(Bytes::new())).expect("a request");
-    let response = sender.send_request(request).await.expect("an answer");
+    let response = sender.send_request(request).await.expect("a response");
     let (head, body) = response.into_parts();
     let body = match body.collect().await {
         Ok(body) => Ok(String::from_utf8_lossy(&body.to_bytes()).into_owned()),
@@ -319,7 +319,7 @@
     CallerResponse { status: head.status, headers: head.headers, body }
 }
 
-/// Runs a test inside a runtime of one thread.
+/// Runs a test in a single-threaded runtime.
 pub fn run_local<F: Future<Output = ()>>(test: F) {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
--- a/crates/gateway/tests/fleet/support/test_codecs.rs
+++ b/crates/gateway/tests/fleet/support/test_codecs.rs
@@ -1,4 +1,4 @@
-//! The headers and the one configuration of the tests.
+//! The headers and the configuration of the tests.
 
 use super::{KEY, PREPAID, TOKENS_PER_EVENT};
 use hyper::{HeaderMap, StatusCode};
@@ -8,7 +8,7 @@
 use stackpost_types::*;
 use std::collections::BTreeMap;
 
-/// Headers of the tests.
+/// The header codec of the tests.
 pub struct TestHeaderCodec;
 
 impl HeaderCodec for TestHeaderCodec {
@@ -78,7 +78,7 @@
     }
 }
 
-/// The one configuration of the tests, whatever the document says but its version.
+/// The configuration of the tests; a document holds only its version.
 pub struct TestDocumentCodec;
 
 impl DocumentCodec for TestDocumentCodec {
--- a/crates/gateway/tests/fleet/suspension.rs
+++ b/crates/gateway/tests/fleet/suspension.rs
@@ -1,98 +1,98 @@
-//! A router whose machine is suspended for seconds and wakes up: its clock has gone on, its timers and sockets have
-//! seen nothing of the time, and control and engines have gone on without it.
+//! A router whose machine is suspended for seconds: its clock includes the suspension, but its
+//! timers and sockets do not, and control and engines have continued meanwhile.
 
 use crate::support::*;
 use std::time::Duration;
 
-/// Longer than a leader may be silent, a request may take, and a connection is kept.
+/// Longer than the leader contact timeout, a request's timeout and the idle limit of connections.
 const SUSPENDED: Duration = Duration::from_secs(20);
 
 #[test]
-fn a_router_that_wakes_is_out_of_touch_until_it_hears_the_leader() {
+fn resumed_router_is_disconnected_until_leader_contact() {
     run_local(async {
         let fleet = Fleet::start().await;
         assert!(fleet.router.is_connected_to_leader());
         fleet.clock.simulate_suspend(SUSPENDED);
-        assert!(!fleet.router.is_connected_to_leader(), "its last contact is long past");
+        assert!(!fleet.router.is_connected_to_leader(), "its last leader contact is too old");
         let router = fleet.router.clone();
         wait_until(|| router.is_connected_to_leader()).await;
         let got = fleet.ask("/once/1", "awake").await;
-        assert_eq!(got.status, 200, "in touch again, it serves the first request");
+        assert_eq!(got.status, 200, "reconnected to the leader, it serves the first request");
     });
 }
 
-/// What it does not know may have come while it was suspended, so it is no final answer.
+/// The route may have been added during the suspension, so 404 is not a valid response.
 #[test]
-fn a_route_that_is_not_known_is_not_denied_out_of_touch() {
+fn unknown_route_is_not_final_while_disconnected() {
     run_local(async {
         let fleet = Fleet::start().await;
         assert_eq!(fleet.ask("/unknown/1", "in-touch").await.status, 404);
-        let mut asked_out_of_touch = 0;
-        while asked_out_of_touch < 5 {
+        let mut disconnected_requests = 0;
+        while disconnected_requests < 5 {
             fleet.clock.simulate_suspend(SUSPENDED);
             let got = fleet.ask("/unknown/1", "awake").await;
-            // The leader may have been heard before the request was read, not the other way round.
+            // A router that is disconnected now was also disconnected when it read the request.
             if !fleet.router.is_connected_to_leader() {
                 assert_eq!(got.status, 503, "{got:?}");
-                asked_out_of_touch += 1;
+                disconnected_requests += 1;
             }
         }
     });
 }
 
-/// The caller's time has gone on as well.
+/// The suspension counts towards the caller's timeout.
 #[test]
-fn a_request_under_way_is_not_sent_again_after_its_time() {
+fn interrupted_request_is_not_retried_after_its_timeout() {
     run_local(async {
         let fleet = Fleet::start().await;
         fleet.set_behaviours(Behaviour::Hang, Behaviour::Hang);
-        let break_both = async {
+        let restart_both = async {
             wait_until(|| fleet.runs() == 1).await;
             fleet.clock.simulate_suspend(SUSPENDED);
             fleet.engines.iter().for_each(|engine| engine.restart());
         };
-        let (got, ()) = tokio::join!(fleet.ask("/again/1", "late"), break_both);
+        let (got, ()) = tokio::join!(fleet.ask("/again/1", "late"), restart_both);
         assert_eq!(got.status, 504, "{got:?}");
-        assert_eq!(fleet.runs(), 1, "nobody waits for it any more");
+        assert_eq!(fleet.runs(), 1, "the caller's timeout has passed");
     });
 }
 
-/// Without a suspension the same request is sent again: what the test above sees is the clock.
+/// Counterpart of the test above without a suspension: the request is retried.
 #[test]
-fn a_request_under_way_is_sent_again_within_its_time() {
+fn interrupted_request_is_retried_within_its_timeout() {
     run_local(async {
         let fleet = Fleet::start().await;
         fleet.set_behaviours(Behaviour::Hang, Behaviour::Hang);
-        let break_both = async {
+        let restart_both = async {
             wait_until(|| fleet.runs() == 1).await;
-            fleet.set_behaviours(Behaviour::Answer, Behaviour::Answer);
+            fleet.set_behaviours(Behaviour::Respond, Behaviour::Respond);
             fleet.engines.iter().for_each(|engine| engine.restart());
         };
-        let (got, ()) = tokio::join!(fleet.ask("/again/1", "in-time"), break_both);
+        let (got, ()) = tokio::join!(fleet.ask("/again/1", "in-time"), restart_both);
         assert_eq!(got.status, 200, "{got:?}");
         assert_eq!(fleet.runs(), 2);
     });
 }
 
-/// A rest is over when the engine's clock says so, which has gone on.
+/// A backoff ends by the engine's clock, which includes the suspension.
 #[test]
-fn what_an_engine_asked_for_before_is_over_after_a_long_suspension() {
+fn backoff_ends_during_a_long_suspension() {
     run_local(async {
         let fleet = Fleet::start().await;
         fleet.set_behaviours(Behaviour::Full, Behaviour::Full);
         fleet.engines.iter().for_each(|engine| engine.backoff.set(Some(SUSPENDED / 2)));
         fleet.ask("/again/1", "first").await;
         let refused = fleet.ask("/again/1", "refused").await;
-        assert!(refused.body.expect("whole").contains("engines_rest"));
-        fleet.set_behaviours(Behaviour::Answer, Behaviour::Answer);
+        assert!(refused.body.expect("a complete body").contains("engines_rest"));
+        fleet.set_behaviours(Behaviour::Respond, Behaviour::Respond);
         fleet.clock.simulate_suspend(SUSPENDED);
         assert_eq!(fleet.ask("/again/1", "awake").await.status, 200);
     });
 }
 
-/// However often it is suspended, and whatever it then draws on its reserve, a tenant gets no more than it has paid for.
+/// The reserve that is drawn on after each suspension must not exceed the budget.
 #[test]
-fn a_router_that_is_suspended_again_and_again_spends_no_more_than_was_paid_for() {
+fn repeated_suspensions_do_not_overspend_a_budget() {
     run_local(async {
         let fleet = Fleet::start().await;
         let (mut served, mut refused) = (0, 0);
--- a/crates/gateway/tests/loans.rs
+++ b/crates/gateway/tests/loans.rs
@@ -1,4 +1,4 @@
-//! Loans among routers: whom to ask, and what becomes of them when connections break.
+//! Loans between routers: the choice of the lender, and the handling of lost connections.
 
 use stackpost_coordinator::BorrowAnswer;
 use stackpost_gateway::loans::{LenderLinks, Loan, LoanOutcome, LoanRequest, Loans};
@@ -18,11 +18,11 @@
     ([10, 0, 1, number as u8], 80).into()
 }
 
-/// Connections by the number of the router at the other end.
+/// Connections, by the number of the router at the other end.
 #[derive(Default)]
 struct Links {
     up: Vec<u64>,
-    coming_up: Vec<u64>,
+    connecting: Vec<u64>,
 }
 
 impl LenderLinks for Links {
@@ -31,12 +31,12 @@
     }
 
     fn is_connecting(&self, router: SocketAddr) -> bool {
-        self.coming_up.iter().any(|number| address(*number) == router)
+        self.connecting.iter().any(|number| address(*number) == router)
     }
 }
 
 fn up(numbers: &[u64]) -> Links {
-    Links { up: numbers.to_vec(), coming_up: Vec::new() }
+    Links { up: numbers.to_vec(), connecting: Vec::new() }
 }
 
 fn tenant() -> TenantName {
@@ -66,7 +66,7 @@
     let first = loans.outgoing_queries(NOW, &up(&[1, 2]));
     assert_eq!((first.len(), first[0].to, first[0].amount), (1, link(2), Tokens(70)));
     assert_eq!(first[0].wait, WAIT);
-    assert!(loans.outgoing_queries(NOW, &up(&[1, 2])).is_empty(), "one question at a time");
+    assert!(loans.outgoing_queries(NOW, &up(&[1, 2])).is_empty(), "only one query at a time");
     assert_eq!(loans.on_reply(NOW, link(2), first[0].token, BorrowAnswer::AskAnother), None);
     let second = loans.outgoing_queries(NOW + Millis(20), &up(&[1, 2]));
     assert_eq!((second[0].to, second[0].wait), (link(1), Millis(150)));
@@ -76,65 +76,65 @@
 }
 
 #[test]
-fn an_owner_to_whom_the_leader_hands_nothing_ends_the_search() {
+fn not_covered_reply_ends_the_search() {
     let loans = Loans::default();
     let mut answer = ask(&loans, &[1, 2]);
-    let question = loans.outgoing_queries(NOW, &up(&[1, 2])).remove(0);
-    loans.on_reply(NOW, link(1), question.token, BorrowAnswer::NotCovered);
+    let query = loans.outgoing_queries(NOW, &up(&[1, 2])).remove(0);
+    loans.on_reply(NOW, link(1), query.token, BorrowAnswer::NotCovered);
     assert!(loans.outgoing_queries(NOW, &up(&[1, 2])).is_empty());
     assert_eq!(answer.try_recv(), Ok(LoanOutcome::NotCovered));
 }
 
 #[test]
-fn a_request_that_everyone_has_refused_gets_nothing() {
+fn request_refused_by_all_lenders_gets_no_loan() {
     let loans = Loans::default();
     let mut answer = ask(&loans, &[1, 2]);
-    let question = loans.outgoing_queries(NOW, &up(&[1])).remove(0);
-    loans.on_reply(NOW, link(1), question.token, BorrowAnswer::AskAnother);
-    let coming_up = Links { up: vec![1], coming_up: vec![2] };
-    assert!(loans.outgoing_queries(NOW, &coming_up).is_empty());
-    assert!(answer.try_recv().is_err(), "a connection may still come up");
+    let query = loans.outgoing_queries(NOW, &up(&[1])).remove(0);
+    loans.on_reply(NOW, link(1), query.token, BorrowAnswer::AskAnother);
+    let connecting = Links { up: vec![1], connecting: vec![2] };
+    assert!(loans.outgoing_queries(NOW, &connecting).is_empty());
+    assert!(answer.try_recv().is_err(), "a connection is still being established");
     assert!(loans.outgoing_queries(NOW, &up(&[1])).is_empty());
     assert_eq!(answer.try_recv(), Ok(LoanOutcome::NoLender));
 }
 
 #[test]
-fn a_loan_that_comes_too_late_is_given_back() {
+fn late_loan_is_returned() {
     let loans = Loans::default();
     let answer = ask(&loans, &[1]);
-    let question = loans.outgoing_queries(NOW, &up(&[1])).remove(0);
+    let query = loans.outgoing_queries(NOW, &up(&[1])).remove(0);
     drop(answer);
-    let unwanted = loans.on_reply(NOW, link(1), question.token, BorrowAnswer::Lent);
-    assert_eq!(unwanted, Some(Loan { lender: link(1), token: question.token }));
+    let unwanted = loans.on_reply(NOW, link(1), query.token, BorrowAnswer::Lent);
+    assert_eq!(unwanted, Some(Loan { lender: link(1), token: query.token }));
 }
 
 #[test]
-fn a_loan_that_comes_after_its_request_was_forgotten_is_given_back() {
+fn loan_for_a_removed_request_is_returned() {
     let loans = Loans::default();
     drop(ask(&loans, &[1]));
-    let question = loans.outgoing_queries(NOW, &up(&[1])).remove(0);
+    let query = loans.outgoing_queries(NOW, &up(&[1])).remove(0);
     assert_eq!(
         loans.remove_abandoned(NOW + Millis(10)),
         [],
-        "it may have been the request's own haste"
+        "the request gave up too early to blame the lender"
     );
-    let unwanted = loans.on_reply(NOW, link(1), question.token, BorrowAnswer::Lent);
-    assert_eq!(unwanted, Some(Loan { lender: link(1), token: question.token }));
+    let unwanted = loans.on_reply(NOW, link(1), query.token, BorrowAnswer::Lent);
+    assert_eq!(unwanted, Some(Loan { lender: link(1), token: query.token }));
 }
 
 #[test]
-fn a_lender_that_lets_a_request_wait_in_vain_is_named() {
+fn lender_that_never_replies_is_reported() {
     let loans = Loans::default();
     let answer = ask(&loans, &[1]);
     loans.outgoing_queries(NOW, &up(&[1]));
-    assert_eq!(loans.remove_abandoned(NOW + WAIT), [], "the request still waits");
+    assert_eq!(loans.remove_abandoned(NOW + WAIT), [], "the request is still waiting");
     drop(answer);
     assert_eq!(loans.remove_abandoned(NOW + WAIT), [address(1)]);
     assert!(!loans.has_pending());
 }
 
 #[test]
-fn a_question_lost_with_its_connection_goes_to_another_router() {
+fn query_on_a_lost_connection_goes_to_another_router() {
     let loans = Loans::default();
     let _answer = ask(&loans, &[1, 2]);
     assert_eq!(loans.outgoing_queries(NOW, &up(&[1, 2]))[0].to, link(1));
@@ -143,32 +143,36 @@
 }
 
 #[test]
-fn what_was_lent_over_a_broken_connection_counts_as_used_once() {
+fn loans_over_a_lost_connection_are_charged_once() {
     let loans = Loans::default();
     loans.on_lent(link(1), 5, tenant(), Tokens(70));
     loans.on_lent(link(2), 5, tenant(), Tokens(30));
     assert_eq!(loans.on_settled(link(1), 5), Some((tenant(), Tokens(70))));
-    assert_eq!(loans.on_settled(link(1), 5), None, "settled before");
+    assert_eq!(loans.on_settled(link(1), 5), None, "already settled");
     assert_eq!(loans.on_link_down(link(2)), vec![(tenant(), Tokens(30))]);
-    assert_eq!(loans.on_settled(link(2), 5), None, "the lender has kept the most");
+    assert_eq!(loans.on_settled(link(2), 5), None, "the full amount was charged");
 }
 
 #[test]
-fn who_has_just_refused_is_not_asked_for_as_much_again() {
+fn recent_refusal_prevents_queries_for_as_much() {
     let loans = Loans::default();
     let mut first = ask(&loans, &[1]);
-    let question = loans.outgoing_queries(NOW, &up(&[1])).remove(0);
-    loans.on_reply(NOW, link(1), question.token, BorrowAnswer::AskAnother);
+    let query = loans.outgoing_queries(NOW, &up(&[1])).remove(0);
+    loans.on_reply(NOW, link(1), query.token, BorrowAnswer::AskAnother);
     loans.outgoing_queries(NOW, &up(&[1]));
     assert_eq!(first.try_recv(), Ok(LoanOutcome::NoLender));
 
     let mut second = ask(&loans, &[1]);
     assert!(loans.outgoing_queries(NOW, &up(&[1])).is_empty());
-    assert_eq!(second.try_recv(), Ok(LoanOutcome::NoLender), "at once, without a message");
+    assert_eq!(
+        second.try_recv(),
+        Ok(LoanOutcome::NoLender),
+        "refused immediately, without a message"
+    );
 
     let _less = ask_for(&loans, 69, &[1]);
-    assert_eq!(loans.outgoing_queries(NOW, &up(&[1])).len(), 1, "it asks for less");
+    assert_eq!(loans.outgoing_queries(NOW, &up(&[1])).len(), 1, "a smaller amount is asked for");
     let _third = ask(&loans, &[1]);
     let later = NOW + Millis(150);
-    assert_eq!(loans.outgoing_queries(later, &up(&[1])).len(), 1, "some time has passed");
+    assert_eq!(loans.outgoing_queries(later, &up(&[1])).len(), 1, "the refusal has expired");
 }
