--- a/crates/gateway/src/permits.rs
+++ b/crates/gateway/src/permits.rs
@@ -315,9 +315,9 @@
         tried: &[BackEndName],
     ) -> PermitAvailability {
         let directory = self.directory.borrow();
-        let open = directory.iter().filter(|record| self.is_available(record, service));
-        let open = open.filter(|record| !tried.contains(&record.notice.engine));
-        self.permits.permits.borrow_mut().availability(self.now(), open)
+        let candidates = directory.iter().filter(|record| self.is_available(record, service));
+        let candidates = candidates.filter(|record| !tried.contains(&record.notice.engine));
+        self.permits.permits.borrow_mut().availability(self.now(), candidates)
     }
 
     /// Sum of the rate limits of a service's engines that this router owns.
@@ -339,9 +339,9 @@
         tie_breaker: u64,
     ) -> Vec<SocketAddr> {
         let directory = self.directory.borrow();
-        let open = directory.iter().filter(|record| self.is_available(record, service));
-        let open = open.filter(|record| !tried.contains(&record.notice.engine));
-        self.permits.permits.borrow_mut().lenders(self.now(), tie_breaker, scope, open)
+        let candidates = directory.iter().filter(|record| self.is_available(record, service));
+        let candidates = candidates.filter(|record| !tried.contains(&record.notice.engine));
+        self.permits.permits.borrow_mut().lenders(self.now(), tie_breaker, scope, candidates)
     }
 
     /// Whether an engine belongs to a service, is ready and has not asked for a backoff.
--- a/crates/gateway/src/refusal.rs
+++ b/crates/gateway/src/refusal.rs
@@ -8,12 +8,12 @@
 /// Time within which a restarted router usually has its configuration: 0.5 to 0.7 s after a power
 /// failure of all machines.
 const CONFIGURED_WITHIN: Millis = Millis(700);
-/// Time after which an unreachable leader is usually back or replaced; an earlier retry would meet
+/// Time after which an unreachable leader is usually back or replaced; an earlier retry would find
 /// the same balances and be refused again.
 const LEADER_BACK_WITHIN: Millis = Millis(3_000);
 
 /// The leader plans budgets four times a second, and its allotments arrive within one more round:
-/// an earlier retry would meet the same balances.
+/// an earlier retry would find the same balances.
 const NEXT_ALLOTMENT_WITHIN: Millis = Millis(500);
 /// Interval over which retries are spread if all engines have asked for a backoff: engines are to
 /// serve again within half a second.
--- a/crates/gateway/tests/fleet/backoff.rs
+++ b/crates/gateway/tests/fleet/backoff.rs
@@ -38,8 +38,8 @@
         fleet.engines[0].backoff.set(Some(BACKOFF));
         let started = Instant::now();
         for number in 0.. {
-            let got = fleet.ask("/again/1", &format!("rest-{number}")).await;
-            assert_eq!(got.status, 200, "the other engine has free capacity");
+            let response = fleet.ask("/again/1", &format!("rest-{number}")).await;
+            assert_eq!(response.status, 200, "the other engine has free capacity");
             tokio::time::sleep(REQUEST_INTERVAL).await;
             if started.elapsed() > BACKOFF - REQUEST_INTERVAL {
                 break;
@@ -65,9 +65,9 @@
         for (number, path) in
             ["/once/1", "/again/1", "/stream/1", "/plain-stream/1"].iter().enumerate()
         {
-            let got = fleet.ask(path, &format!("late-{number}")).await;
-            assert_eq!(got.status, 503, "{path}");
-            assert!(got.body.expect("a complete body").contains("\"not_run\""));
+            let response = fleet.ask(path, &format!("late-{number}")).await;
+            assert_eq!(response.status, 503, "{path}");
+            assert!(response.body.expect("a complete body").contains("\"not_run\""));
         }
         assert_eq!(arrived(), before, "no request was sent to an engine");
     });
@@ -94,8 +94,8 @@
 }
 
 /// The retry delay sent to a caller, in seconds.
-fn retry_after(got: &CallerResponse) -> f64 {
-    let value = got.headers.get("retry-after").expect("a retry-after header");
+fn retry_after(response: &CallerResponse) -> f64 {
+    let value = response.headers.get("retry-after").expect("a retry-after header");
     value.to_str().expect("text").parse().expect("seconds")
 }
 
@@ -110,11 +110,11 @@
         fleet.ask("/again/1", "first").await;
         let mut delays = Vec::new();
         for number in 0..12 {
-            let got = fleet.ask("/again/1", &format!("told-{number}")).await;
-            assert!(got.body.as_ref().expect("a complete body").contains("engines_rest"));
+            let response = fleet.ask("/again/1", &format!("told-{number}")).await;
+            assert!(response.body.as_ref().expect("a complete body").contains("engines_rest"));
             let (least, most) =
                 (BACKOFF.saturating_sub(first_request_at.elapsed()), BACKOFF + IN_FLIGHT_TIME);
-            let delay = retry_after(&got);
+            let delay = retry_after(&response);
             assert!((least.as_secs_f64()..most.as_secs_f64()).contains(&delay), "{delay} s");
             delays.push((delay * 1_000.0) as u64);
         }
@@ -133,8 +133,8 @@
         fleet.ask("/again/1", "first").await;
         // Together the requests exceed the budget; none may be refused because of it.
         for number in 0..2 * PREPAID / (PROMPT + MAX_GENERATED) {
-            let got = fleet.generate(&format!("unserved-{number}")).await;
-            assert!(got.body.expect("a complete body").contains("engines_rest"));
+            let response = fleet.generate(&format!("unserved-{number}")).await;
+            assert!(response.body.expect("a complete body").contains("engines_rest"));
         }
         fleet.set_behaviours(Behaviour::Respond, Behaviour::Respond);
         tokio::time::sleep(BACKOFF).await;
@@ -162,8 +162,8 @@
             fleet.ask("/again/1", &format!("before-{}", fleet.runs())).await;
         }
         fleet.engines[1].behaviour.set(Behaviour::Truncate);
-        let got = fleet.ask("/stream/1", "stream").await;
-        assert!(got.body.is_err(), "no engine can resume the stream: {got:?}");
+        let response = fleet.ask("/stream/1", "stream").await;
+        assert!(response.body.is_err(), "no engine can resume the stream: {response:?}");
         assert_eq!(fleet.engines[0].rejected_at.borrow().len(), 1);
     });
 }
@@ -175,14 +175,14 @@
         fleet.leave(fleet.engines[1].name.id()).await;
         wait_until(|| fleet.router.ready_engine_count() == 1).await;
         fleet.engines[0].leaving.set(true);
-        let got = fleet.ask("/plain-stream/1", "stream").await;
+        let response = fleet.ask("/plain-stream/1", "stream").await;
         assert_eq!(
-            got.body,
+            response.body,
             Ok(all_events()),
             "the engine announces its departure in the head of this response"
         );
-        let got = fleet.ask("/plain-stream/1", "next").await;
-        assert_eq!(got.status, 503);
-        assert!(got.body.expect("a complete body").contains("no_engine"));
+        let response = fleet.ask("/plain-stream/1", "next").await;
+        assert_eq!(response.status, 503);
+        assert!(response.body.expect("a complete body").contains("no_engine"));
     });
 }
--- a/crates/gateway/tests/fleet/budgets.rs
+++ b/crates/gateway/tests/fleet/budgets.rs
@@ -24,15 +24,15 @@
         let (mut served, mut consecutive_refusals) = (0, 0);
         for number in 0.. {
             let id = format!("g{number}");
-            let got = match number % (OTHER_ROUTERS + 1) {
+            let response = match number % (OTHER_ROUTERS + 1) {
                 0 => fleet.generate(&id).await,
                 other => others[other - 1].generate(&id).await,
             };
-            if got.status == 200 {
+            if response.status == 200 {
                 served += 1;
                 consecutive_refusals = 0;
             } else {
-                assert_eq!(got.status, 429);
+                assert_eq!(response.status, 429);
                 consecutive_refusals += 1;
             }
             if consecutive_refusals == REFUSALS_WHEN_EXHAUSTED {
--- a/crates/gateway/tests/fleet/crashing_requests.rs
+++ b/crates/gateway/tests/fleet/crashing_requests.rs
@@ -113,12 +113,12 @@
                 "{crashed} engines crashed, {point:?}"
             );
             for number in 0..2 {
-                let got = fleet.ask(number, &path, &format!("late-{number}")).await;
-                assert_eq!(got.status, 503, "{point:?}");
-                assert!(got.body.expect("a complete body").contains("\"not_run\""));
+                let response = fleet.ask(number, &path, &format!("late-{number}")).await;
+                assert_eq!(response.status, 503, "{point:?}");
+                assert!(response.body.expect("a complete body").contains("\"not_run\""));
             }
-            let got = fleet.fleet.ask("/plain-stream/other", "other").await;
-            assert_eq!(got.body, Ok(all_events()), "other requests are served");
+            let response = fleet.fleet.ask("/plain-stream/other", "other").await;
+            assert_eq!(response.body, Ok(all_events()), "other requests are served");
         });
     }
 }
@@ -147,8 +147,8 @@
         let running = fleet.engines.borrow().len();
         new_router.ready(running).await;
         fleet.second.replace(new_router);
-        let got = fleet.ask(1, &path, "at-newcomer").await;
-        assert_eq!(got.status, 503);
+        let response = fleet.ask(1, &path, "at-newcomer").await;
+        assert_eq!(response.status, 503);
         assert_eq!(fleet.crashed_engines(), before);
     });
 }
--- a/crates/gateway/tests/fleet/flaky_connections.rs
+++ b/crates/gateway/tests/fleet/flaky_connections.rs
@@ -60,12 +60,12 @@
     let (mut refused, mut served) = (0, 0);
     for copy in 0..COPIES {
         let id = format!("popular-{copy}");
-        let got = match copy % 2 {
+        let response = match copy % 2 {
             0 => fleet.ask(PATH, &id).await,
             _ => second.ask(PATH, &id).await,
         };
-        served += usize::from(got.status == 200);
-        refused += usize::from(got.body.is_ok_and(|body| body.contains("ends_engines")));
+        served += usize::from(response.status == 200);
+        refused += usize::from(response.body.is_ok_and(|body| body.contains("ends_engines")));
         tokio::time::sleep(REQUEST_INTERVAL).await;
     }
     (refused, served)
@@ -102,11 +102,11 @@
             if engines_with_runs() >= CRASHES_TO_QUARANTINE {
                 break;
             }
-            let got = fleet.ask(PATH, &format!("unlucky-{copy}")).await;
-            assert!(!got.body.expect("a complete body").contains("ends_engines"));
+            let response = fleet.ask(PATH, &format!("unlucky-{copy}")).await;
+            assert!(!response.body.expect("a complete body").contains("ends_engines"));
         }
         engines.all.iter().for_each(|engine| engine.behaviour.set(Behaviour::Respond));
-        let got = fleet.ask(PATH, "next").await;
-        assert_eq!(got.status, 200, "{got:?}");
+        let response = fleet.ask(PATH, "next").await;
+        assert_eq!(response.status, 200, "{response:?}");
     });
 }
--- a/crates/gateway/tests/fleet/requests.rs
+++ b/crates/gateway/tests/fleet/requests.rs
@@ -10,11 +10,11 @@
 fn response_is_unchanged_and_the_key_is_not_forwarded() {
     run_local(async {
         let fleet = Fleet::start().await;
-        let got = fleet.ask("/once/1", "a").await;
-        assert_eq!(got.status, 200);
-        assert_eq!(got.body.as_deref(), Ok("an answer"));
-        assert_eq!(got.headers["signature"], "s");
-        assert_eq!(got.headers["x-own"], "kept");
+        let response = fleet.ask("/once/1", "a").await;
+        assert_eq!(response.status, 200);
+        assert_eq!(response.body.as_deref(), Ok("an answer"));
+        assert_eq!(response.headers["signature"], "s");
+        assert_eq!(response.headers["x-own"], "kept");
         assert_eq!(fleet.runs(), 1);
         assert!(fleet.engines.iter().all(|engine| engine.keys_seen.get() == 0));
     });
@@ -39,9 +39,9 @@
         run_local(async move {
             let fleet = Fleet::start().await;
             fleet.set_behaviours(behaviour, behaviour);
-            let got = fleet.ask("/once/1", "a").await;
-            assert_eq!(got.status, 502, "{behaviour:?}");
-            assert!(got.body.expect("a complete body").contains("\"unknown\""));
+            let response = fleet.ask("/once/1", "a").await;
+            assert_eq!(response.status, 502, "{behaviour:?}");
+            assert!(response.body.expect("a complete body").contains("\"unknown\""));
             assert_eq!(fleet.runs(), 1, "{behaviour:?}");
         });
     }
@@ -58,14 +58,14 @@
         run_local(async move {
             let fleet = Fleet::start().await;
             fleet.set_behaviours(behaviour, behaviour);
-            let got = fleet.ask("/again/1", "a").await;
+            let response = fleet.ask("/again/1", "a").await;
             let expected = if behaviour == Behaviour::ServerError { 500 } else { 502 };
-            assert_eq!(got.status, expected, "{behaviour:?}");
+            assert_eq!(response.status, expected, "{behaviour:?}");
             assert_eq!(fleet.runs(), 2, "two attempts, {behaviour:?}");
             fleet.set_behaviours(behaviour, Behaviour::Respond);
             for number in 0..6 {
-                let got = fleet.ask("/again/1", &format!("b{number}")).await;
-                assert_eq!(got.status, 200, "{behaviour:?}");
+                let response = fleet.ask("/again/1", &format!("b{number}")).await;
+                assert_eq!(response.status, 200, "{behaviour:?}");
             }
         });
     }
@@ -76,10 +76,10 @@
     run_local(async {
         let fleet = Fleet::start().await;
         fleet.set_behaviours(Behaviour::Full, Behaviour::Full);
-        let got = fleet.ask("/once/1", "a").await;
-        assert_eq!(got.status, 503);
-        assert!(got.headers.contains_key("retry-after"));
-        assert!(got.body.expect("a complete body").contains("\"not_run\""));
+        let response = fleet.ask("/once/1", "a").await;
+        assert_eq!(response.status, 503);
+        assert!(response.headers.contains_key("retry-after"));
+        assert!(response.body.expect("a complete body").contains("\"not_run\""));
         assert_eq!(fleet.runs(), 0);
         fleet.set_behaviours(Behaviour::Full, Behaviour::Respond);
         assert_eq!(fleet.ask("/once/1", "b").await.status, 200);
@@ -92,9 +92,9 @@
         let fleet = Fleet::start().await;
         fleet.set_behaviours(Behaviour::Truncate, Behaviour::Respond);
         for number in 0..6 {
-            let got = fleet.ask("/stream/1", &format!("s{number}")).await;
-            assert_eq!(got.status, 200);
-            assert_eq!(got.body, Ok(all_events()));
+            let response = fleet.ask("/stream/1", &format!("s{number}")).await;
+            assert_eq!(response.status, 200);
+            assert_eq!(response.body, Ok(all_events()));
         }
         let resumed = fleet.engines[1].runs.borrow().iter().any(|(_, after)| *after == Some(3));
         assert!(resumed, "the second engine resumed after the third event");
@@ -131,8 +131,8 @@
             wait_until(|| fleet.router.ready_engine_count() == 1).await;
             engine.restart();
         };
-        let (got, ()) = tokio::join!(fleet.ask("/stream/1", "s"), restart);
-        assert_eq!(got.body, Ok(all_events()));
+        let (response, ()) = tokio::join!(fleet.ask("/stream/1", "s"), restart);
+        assert_eq!(response.body, Ok(all_events()));
         assert_eq!(engine.runs.borrow().len(), 2, "one run in each incarnation");
     });
 }
@@ -142,8 +142,8 @@
     run_local(async {
         let fleet = Fleet::start().await;
         fleet.set_behaviours(Behaviour::Truncate, Behaviour::Truncate);
-        let got = fleet.ask("/plain-stream/1", "s").await;
-        assert!(got.body.is_err(), "{got:?}");
+        let response = fleet.ask("/plain-stream/1", "s").await;
+        assert!(response.body.is_err(), "{response:?}");
         assert_eq!(fleet.runs(), 1);
     });
 }
@@ -179,13 +179,13 @@
         let mut served = 0;
         let mut consecutive_refusals = 0;
         while consecutive_refusals < 8 {
-            let got = fleet.generate(&format!("g{served}-{consecutive_refusals}")).await;
-            if got.status == 200 {
+            let response = fleet.generate(&format!("g{served}-{consecutive_refusals}")).await;
+            if response.status == 200 {
                 served += 1;
                 consecutive_refusals = 0;
             } else {
-                assert_eq!(got.status, 429);
-                assert!(got.headers.contains_key("retry-after"));
+                assert_eq!(response.status, 429);
+                assert!(response.headers.contains_key("retry-after"));
                 consecutive_refusals += 1;
             }
         }
@@ -248,12 +248,12 @@
         assert_eq!(fleet.generate("g1").await.status, 200);
         fleet.router.begin_drain();
         assert!(!fleet.router.is_ready());
-        let got = fleet.ask("/once/1", "late").await;
-        assert_eq!(got.status, 200, "callers that still connect are served");
-        assert_eq!(got.headers["connection"], "close");
+        let response = fleet.ask("/once/1", "late").await;
+        assert_eq!(response.status, 200, "callers that still connect are served");
+        assert_eq!(response.headers["connection"], "close");
         fleet.server.drain(Duration::from_secs(8)).await;
-        let got = fleet.ask("/once/1", "too-late").await;
-        assert_eq!(got.status, 503, "a stream that starts now might be cut off");
+        let response = fleet.ask("/once/1", "too-late").await;
+        assert_eq!(response.status, 503, "a stream that starts now might be cut off");
         assert_eq!(fleet.runs(), 2);
         fleet.link.report_final_usage(Duration::from_secs(5)).await;
     });
--- a/crates/gateway/tests/fleet/stated_rates.rs
+++ b/crates/gateway/tests/fleet/stated_rates.rs
@@ -56,16 +56,16 @@
 
 /// Sends requests to the routers in turn for a window and a half.
 async fn send_load(routers: &[std::net::SocketAddr], paths: &[&str]) -> Vec<CallerResponse> {
-    let (started, mut got) = (Instant::now(), Vec::new());
+    let (started, mut responses) = (Instant::now(), Vec::new());
     for number in 0.. {
         let (router, path) = (routers[number % routers.len()], paths[number % paths.len()]);
-        got.push(ask_as_caller(router, path, &format!("load-{number}")).await);
+        responses.push(ask_as_caller(router, path, &format!("load-{number}")).await);
         tokio::time::sleep(REQUEST_INTERVAL).await;
         if started.elapsed() > WINDOW + WINDOW / 2 {
             break;
         }
     }
-    got
+    responses
 }
 
 #[test]
@@ -73,8 +73,11 @@
     run_local(async {
         let fleet = Fleet::start().await;
         fleet.engines[0].rate.set(Some(1.5));
-        let got = send_load(&[fleet.callers], &["/once/1", "/again/1", "/stream/1"]).await;
-        assert!(got.iter().all(|got| got.status == 200), "the other engine has free capacity");
+        let responses = send_load(&[fleet.callers], &["/once/1", "/again/1", "/stream/1"]).await;
+        assert!(
+            responses.iter().all(|response| response.status == 200),
+            "the other engine has free capacity"
+        );
         assert!(
             fleet.engines[0].arrivals.borrow().len() > 3,
             "the limited engine receives requests as well"
@@ -97,15 +100,19 @@
         }
         fleet.engines.iter().for_each(|engine| engine.rate.set(Some(1.3)));
         let started = Instant::now();
-        let got = send_load(&routers, &["/once/1", "/again/1", "/stream/1"]).await;
+        let responses = send_load(&routers, &["/once/1", "/again/1", "/stream/1"]).await;
         let time = started.elapsed();
         fleet.engines.iter().for_each(|engine| assert_rate_respected(engine, 1.3));
         let max_total: usize =
             fleet.engines.iter().map(|engine| max_served(engine, 1.3, time)).sum();
-        let served = got.iter().filter(|got| got.status == 200).count();
-        let refused = got.iter().filter(|got| got.status == 503).count();
-        assert_eq!(served + refused, got.len(), "every request is served or refused");
-        assert!(served <= max_total, "{served} of {} served, engines take {max_total}", got.len());
+        let served = responses.iter().filter(|response| response.status == 200).count();
+        let refused = responses.iter().filter(|response| response.status == 503).count();
+        assert_eq!(served + refused, responses.len(), "every request is served or refused");
+        assert!(
+            served <= max_total,
+            "{served} of {} served, engines take {max_total}",
+            responses.len()
+        );
     });
 }
 
@@ -136,9 +143,9 @@
         fleet.engines.iter().for_each(|engine| engine.rate.set(Some(40.0)));
         fleet.ask("/again/1", "first").await;
         tokio::time::sleep(IN_FLIGHT_TIME).await;
-        let got = fleet.ask("/again/1", "second").await;
-        assert_eq!(got.status, 503);
-        assert!(got.body.expect("a complete body").contains("engines_full"));
+        let response = fleet.ask("/again/1", "second").await;
+        assert_eq!(response.status, 503);
+        assert!(response.body.expect("a complete body").contains("engines_full"));
         let arrived: usize =
             fleet.engines.iter().map(|engine| engine.arrivals.borrow().len()).sum();
         assert_eq!(arrived, 4, "each engine received both requests");
--- a/crates/gateway/tests/fleet/suspension.rs
+++ b/crates/gateway/tests/fleet/suspension.rs
@@ -16,8 +16,8 @@
         assert!(!fleet.router.is_connected_to_leader(), "its last leader contact is too old");
         let router = fleet.router.clone();
         wait_until(|| router.is_connected_to_leader()).await;
-        let got = fleet.ask("/once/1", "awake").await;
-        assert_eq!(got.status, 200, "reconnected to the leader, it serves the first request");
+        let response = fleet.ask("/once/1", "awake").await;
+        assert_eq!(response.status, 200, "reconnected to the leader, it serves the first request");
     });
 }
 
@@ -30,10 +30,10 @@
         let mut disconnected_requests = 0;
         while disconnected_requests < 5 {
             fleet.clock.simulate_suspend(SUSPENDED);
-            let got = fleet.ask("/unknown/1", "awake").await;
+            let response = fleet.ask("/unknown/1", "awake").await;
             // A router that is disconnected now was also disconnected when it read the request.
             if !fleet.router.is_connected_to_leader() {
-                assert_eq!(got.status, 503, "{got:?}");
+                assert_eq!(response.status, 503, "{response:?}");
                 disconnected_requests += 1;
             }
         }
@@ -51,8 +51,8 @@
             fleet.clock.simulate_suspend(SUSPENDED);
             fleet.engines.iter().for_each(|engine| engine.restart());
         };
-        let (got, ()) = tokio::join!(fleet.ask("/again/1", "late"), restart_both);
-        assert_eq!(got.status, 504, "{got:?}");
+        let (response, ()) = tokio::join!(fleet.ask("/again/1", "late"), restart_both);
+        assert_eq!(response.status, 504, "{response:?}");
         assert_eq!(fleet.runs(), 1, "the caller's timeout has passed");
     });
 }
@@ -68,8 +68,8 @@
             fleet.set_behaviours(Behaviour::Respond, Behaviour::Respond);
             fleet.engines.iter().for_each(|engine| engine.restart());
         };
-        let (got, ()) = tokio::join!(fleet.ask("/again/1", "in-time"), restart_both);
-        assert_eq!(got.status, 200, "{got:?}");
+        let (response, ()) = tokio::join!(fleet.ask("/again/1", "in-time"), restart_both);
+        assert_eq!(response.status, 200, "{response:?}");
         assert_eq!(fleet.runs(), 2);
     });
 }
