--- a/crates/gateway/src/load_exchange.rs
+++ b/crates/gateway/src/load_exchange.rs
@@ -19,11 +19,11 @@
 /// Interval of periodic updates with few routers.
 const UPDATE_INTERVAL: Duration = Duration::from_millis(250);
 /// Number of routers from which updates become less frequent, so that the traffic of one router
-/// does not grow with their number: 70 routers that each sent 3,000 tokens at once exceeded the
-/// capacity of their links and processors.
+/// does not grow with their number: 70 routers that each sent an update at once for every 3,000
+/// tokens exceeded the capacity of their links and processors.
 const FEW_ROUTERS: u64 = 12;
-/// Largest factor by which the interval grows: an update stays valid for a little over twice that
-/// time.
+/// Largest factor by which the interval grows: an update stays valid for a little over twice the
+/// longest interval.
 const MAX_INTERVAL_FACTOR: u64 = 6;
 /// Prompt tokens at one engine from which an update is sent at once, with few routers: fewer are
 /// prefilled before another router could send a request there because of them.
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -36,7 +36,7 @@
 /// Largest response that is buffered before it is forwarded.
 pub(crate) const BUFFER_LIMIT_BYTES: usize = 256 * 1024;
 /// Timeout of requests whose caller states none.
-const DEFAULT_WAIT: Millis = Millis(15_000);
+const DEFAULT_CALLER_TIMEOUT: Millis = Millis(15_000);
 
 /// Gap objective of routes that configure none.
 const DEFAULT_GAP_OBJECTIVE: Millis = Millis(1_000);
@@ -129,7 +129,7 @@
         return Err(Refusal::Stopping);
     }
     let (route, tenant) = (route.clone(), tenant.cloned());
-    let wait = caller.wait.unwrap_or(DEFAULT_WAIT);
+    let wait = caller.wait.unwrap_or(DEFAULT_CALLER_TIMEOUT);
     let deadline =
         Deadline::after(Duration::from_millis(wait.0.min(route.timeout.0)), router.clock.clone());
     let limit = table.config().limits.max_body_bytes;
--- a/crates/gateway/src/unservable.rs
+++ b/crates/gateway/src/unservable.rs
@@ -7,8 +7,9 @@
 use stackpost_gateway_core::{PermitAvailability, RequestClass, ServiceAvailability};
 use stackpost_types::Millis;
 
-/// Callers respect a retry delay of up to this fraction of their remaining time: one third.
-const RETRY_DELAY_FRACTION: u64 = 3;
+/// Callers respect a retry delay of up to a third of their remaining time, which is divided by this
+/// number.
+const RETRY_DELAY_DIVISOR: u64 = 3;
 
 impl RequestContext {
     /// Refuses a request that no engine is available to serve, before tokens are reserved for it.
@@ -62,7 +63,7 @@
     /// The retry delay for the caller. Callers respect delays of up to a third of their remaining
     /// time only.
     fn retry_delay(&self, soonest: Millis) -> Millis {
-        let latest = Millis(self.deadline.remaining().as_millis() as u64 / RETRY_DELAY_FRACTION);
+        let latest = Millis(self.deadline.remaining().as_millis() as u64 / RETRY_DELAY_DIVISOR);
         let mut shedding = self.router.shedding.borrow_mut();
         shedding.retry_delay(self.router.now(), &self.service, soonest, latest, self.request_hash())
     }
