--- a/crates/gateway/tests/fleet/support/test_codecs.rs
+++ b/crates/gateway/tests/fleet/support/test_codecs.rs
@@ -1,4 +1,4 @@
-//! The headers and the one configuration of the tests.
+//! The headers and the configuration of the tests.
 
 use super::{KEY, PREPAID, TOKENS_PER_EVENT};
 use hyper::{HeaderMap, StatusCode};
@@ -8,7 +8,7 @@
 use stackpost_types::*;
 use std::collections::BTreeMap;
 
-/// Headers of the tests.
+/// The header codec of the tests.
 pub struct TestHeaderCodec;
 
 impl HeaderCodec for TestHeaderCodec {
@@ -29,14 +29,18 @@
         })
     }
 
-    fn write_engine_headers(&self, headers: &mut HeaderMap, addressing: &EngineRequestHeaders<'_>) {
+    fn write_engine_headers(
+        &self,
+        headers: &mut HeaderMap,
+        engine_headers: &EngineRequestHeaders<'_>,
+    ) {
         headers.remove("key");
         let mut set = |name: &'static str, value: String| {
             headers.insert(name, value.parse().expect("a header value"));
         };
-        set("engine", addressing.engine.to_string());
-        set("wait", addressing.wait.0.to_string());
-        if let Some(event) = addressing.last_event {
+        set("engine", engine_headers.engine.to_string());
+        set("wait", engine_headers.wait.0.to_string());
+        if let Some(event) = engine_headers.last_event {
             set("after", event.to_string());
         }
     }
@@ -74,7 +78,7 @@
     }
 }
 
-/// The one configuration of the tests, whatever the document says but its version.
+/// The configuration of the tests; a document holds only its version.
 pub struct TestDocumentCodec;
 
 impl DocumentCodec for TestDocumentCodec {
