--- a/crates/prepaid/src/lib.rs
+++ b/crates/prepaid/src/lib.rs
@@ -1,9 +1,9 @@
 //! Prepaid budgets as allotments.
 //!
-//! The replicated [`PrepaidLedger`] says how much of each tenant's prepaid amount has been handed
-//! to which router life. A router spends only what its [`Wallet`] holds, without asking anyone;
-//! [`plan`] decides how much each router should hold. Totals only ever grow and are merged by
-//! maximum, so late, repeated or crossed messages do no harm.
+//! The replicated [`PrepaidLedger`] records how much of each tenant's prepaid amount has been
+//! allotted to which router incarnation. A router spends only what its [`Wallet`] holds, without
+//! further coordination; [`plan`] decides how much each router should hold. Totals are monotone and
+//! merged by maximum, so delayed, duplicated or reordered messages are harmless.
 //!
 //! Invariant: for every tenant, what all routers have ever spent or reserved is at most
 //! [`PrepaidLedger::issued`], which is at most the tenant's limit when it was issued.
--- a/crates/prepaid/src/rate.rs
+++ b/crates/prepaid/src/rate.rs
@@ -1,17 +1,17 @@
-//! How fast a tenant's budget is drawn on.
+//! Demand on a tenant's budget in tokens per second.
 
 use stackpost_types::{Millis, Timestamp, Tokens};
 
-/// Length of one bucket.
+/// Time span of one bucket.
 const BUCKET: Millis = Millis(500);
 /// Buckets over which the rate is averaged.
 const BUCKETS: usize = 8;
 
-/// Buckets that count even if fewer have passed, so that the first requests do not look like a
-/// flood.
-const LEAST_BUCKETS: u64 = 6;
+/// Smallest number of buckets over which the rate is averaged, so that the first requests do not
+/// give an excessive rate.
+const MIN_BUCKETS: u64 = 6;
 
-/// Tokens asked for per second, averaged over the last four seconds.
+/// Tokens requested per second, averaged over the last four seconds.
 #[derive(Clone, Debug, Default)]
 pub struct DemandRate {
     buckets: [u64; BUCKETS],
@@ -20,7 +20,7 @@
 }
 
 impl DemandRate {
-    /// Notes that `amount` was asked for.
+    /// Records a request for `amount`.
     pub fn record(&mut self, now: Timestamp, amount: Tokens) {
         self.advance(now);
         let slot = (self.current as usize) % BUCKETS;
@@ -35,7 +35,7 @@
         };
         let span = (self.current - first + 1).min(BUCKETS as u64);
         let total: u64 = self.buckets.iter().sum();
-        Tokens(total.saturating_mul(1_000) / (span.max(LEAST_BUCKETS) * BUCKET.0))
+        Tokens(total.saturating_mul(1_000) / (span.max(MIN_BUCKETS) * BUCKET.0))
     }
 
     fn advance(&mut self, now: Timestamp) {
--- a/crates/prepaid/src/wallet.rs
+++ b/crates/prepaid/src/wallet.rs
@@ -1,4 +1,4 @@
-//! The router's side: what it holds, has reserved and has spent.
+//! The router's side: tokens held, reserved and spent per tenant.
 
 use crate::ledger::{Allotment, RESERVE_UNLOCK_DELAY};
 use crate::policy::{AccountReport, BudgetForecast};
@@ -6,28 +6,28 @@
 use stackpost_types::{Millis, TenantName, Timestamp, Tokens};
 use std::collections::BTreeMap;
 
-/// Weight of the mean against the newest amount.
-const MEAN_KEPT: u64 = 31;
+/// Weight of the previous mean against the newest amount, which has weight one.
+const MEAN_WEIGHT: u64 = 31;
 /// A request is cheap if it costs at most this part of the mean, in thousandths.
 const CHEAP_PERMILLE: u64 = 500;
 
 /// A reservation that does not fit what the router may spend now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Shortfall {
-    /// Tokens that are missing.
+    /// Tokens lacking for the reservation.
     pub missing: Tokens,
 }
 
 /// What a router holds of one tenant's budget at one moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Balance {
-    /// What the hand has left.
+    /// What is left of the primary.
     pub primary: Tokens,
-    /// What the reserve has left, locked or not.
+    /// What is left of the reserve, locked or not.
     pub reserve: Tokens,
     /// What may be reserved now.
     pub spendable: Tokens,
-    /// Set aside for requests under way.
+    /// Reserved for requests in flight.
     pub reserved: Tokens,
     /// Time since the last contact with a leader.
     pub since_contact: Millis,
@@ -38,13 +38,13 @@
     allotment: Allotment,
     spent: Tokens,
     reserved: Tokens,
-    /// Amount asked for and not yet covered: the largest, or the smallest of a budget of which only the end is left.
+    /// Requested amount that was not covered: the largest, or the smallest of a scarce budget.
     wanted: Tokens,
-    /// Whether only the end of the budget is left, by the leader's word.
+    /// Whether only the last part of the budget is left, according to the leader's forecast.
     is_scarce: bool,
     largest_request: Tokens,
-    /// Mean of the amounts asked for of late.
-    mean: Tokens,
+    /// Moving average of the requested amounts.
+    mean_request: Tokens,
     demand: DemandRate,
 }
 
@@ -53,43 +53,48 @@
         self.spent + self.reserved
     }
 
-    fn note_amount(&mut self, amount: Tokens) {
-        self.mean = match self.mean {
+    fn record_amount(&mut self, amount: Tokens) {
+        self.mean_request = match self.mean_request {
             Tokens::ZERO => amount,
-            mean => mean.scaled(MEAN_KEPT, MEAN_KEPT + 1) + amount.scaled(1, MEAN_KEPT + 1),
+            mean_request => {
+                mean_request.scaled(MEAN_WEIGHT, MEAN_WEIGHT + 1)
+                    + amount.scaled(1, MEAN_WEIGHT + 1)
+            }
         };
     }
 
-    /// Many small requests can be covered by the end of a budget, a large one hides them from the leader.
-    fn note_wanted(&mut self, amount: Tokens) {
+    /// The last part of a budget can cover many small requests; reporting only the largest amount
+    /// would hide them from the leader.
+    fn record_wanted(&mut self, amount: Tokens) {
         self.wanted = match self.is_scarce && !self.wanted.is_zero() {
             true => self.wanted.min(amount),
             false => self.wanted.max(amount),
         };
     }
 
-    /// What the hand has left.
+    /// What is left of the primary.
     fn primary_left(&self) -> Tokens {
         self.allotment.usable_primary() - self.allotment.returned - self.used()
     }
 
-    /// What is held and not used, in the hand and in the reserve.
+    /// Unused tokens of primary and reserve.
     fn unused(&self) -> Tokens {
         self.allotment.outstanding() - self.used()
     }
 
-    /// What may be reserved when the last contact was `since_contact` ago.
+    /// What may be reserved when `since_contact` has passed since the last leader contact.
     fn spendable(&self, since_contact: Millis) -> Tokens {
-        let open_for = since_contact.0.checked_sub(RESERVE_UNLOCK_DELAY.0).map(Millis);
-        let drawn = open_for
-            .map(|open| self.allotment.draw_rate.max_drawn_within(open))
+        let unlocked_for = since_contact.0.checked_sub(RESERVE_UNLOCK_DELAY.0).map(Millis);
+        let unlocked_reserve = unlocked_for
+            .map(|unlocked_for| self.allotment.draw_rate.max_drawn_within(unlocked_for))
             .unwrap_or_default();
-        let unlocked = self.allotment.usable_primary() + drawn.min(self.allotment.reserve());
+        let unlocked =
+            self.allotment.usable_primary() + unlocked_reserve.min(self.allotment.reserve());
         unlocked - self.allotment.returned - self.used()
     }
 }
 
-/// Allotments of one router life.
+/// Allotments of one router incarnation.
 #[derive(Clone, Debug, Default)]
 pub struct Wallet {
     accounts: BTreeMap<TenantName, Account>,
@@ -98,7 +103,8 @@
 }
 
 impl Wallet {
-    /// Notes a contact with a leader. The reserve stays locked for [`RESERVE_UNLOCK_DELAY`] from now.
+    /// Records a contact with a leader. The reserve stays locked for [`RESERVE_UNLOCK_DELAY`] from
+    /// `now`.
     pub fn on_contact(&mut self, now: Timestamp) {
         self.contact = self.contact.max(now);
     }
@@ -108,7 +114,7 @@
         self.contact
     }
 
-    /// Sets `amount` aside before a request is sent.
+    /// Reserves `amount` before a request is sent, and records it as demand.
     pub fn reserve(
         &mut self,
         now: Timestamp,
@@ -118,13 +124,14 @@
         let account = self.accounts.entry(tenant.clone()).or_default();
         account.demand.record(now, amount);
         account.largest_request = account.largest_request.max(amount);
-        account.note_amount(amount);
+        account.record_amount(amount);
         self.retry_reserve(now, tenant, amount)
     }
 
-    /// Whether a request may draw on a budget with this outlook: the end of a budget serves cheap requests only. One that
-    /// may not still counts in the mean by which requests are cheap, but not as demand, since nothing of a scarce budget
-    /// is handed out by demand.
+    /// Whether a request may draw on a budget with this forecast: a scarce budget serves cheap
+    /// requests only. A request that is not admitted still counts in the mean against which
+    /// requests are classed as cheap, but not as demand, since grants from a scarce budget do not
+    /// follow demand.
     pub fn admits(
         &mut self,
         tenant: &TenantName,
@@ -133,15 +140,15 @@
     ) -> bool {
         let account = self.accounts.entry(tenant.clone()).or_default();
         account.is_scarce = forecast == Some(BudgetForecast::Scarce);
-        let is_cheap = amount <= account.mean.scaled(CHEAP_PERMILLE, 1_000);
+        let is_cheap = amount <= account.mean_request.scaled(CHEAP_PERMILLE, 1_000);
         let admitted = !account.is_scarce || is_cheap;
         if !admitted {
-            account.note_amount(amount);
+            account.record_amount(amount);
         }
         admitted
     }
 
-    /// Tries again for a request whose demand has been noted before.
+    /// Tries again to reserve for a request whose demand has been recorded before.
     pub fn retry_reserve(
         &mut self,
         now: Timestamp,
@@ -152,14 +159,14 @@
         let account = self.accounts.entry(tenant.clone()).or_default();
         let spendable = account.spendable(since_contact);
         if spendable < amount {
-            account.note_wanted(amount);
+            account.record_wanted(amount);
             return Err(Shortfall { missing: amount - spendable });
         }
         account.reserved += amount;
         Ok(())
     }
 
-    /// Ends a reservation: `used` of it is spent, the rest can be spent again.
+    /// Settles a reservation: `used` of it is spent, the rest becomes available again.
     pub fn settle(&mut self, tenant: &TenantName, reserved: Tokens, used: Tokens) {
         if let Some(account) = self.accounts.get_mut(tenant) {
             account.reserved = account.reserved - reserved;
@@ -167,7 +174,7 @@
         }
     }
 
-    /// Takes in what the ledger has handed to this life. Returns whether the hand has grown.
+    /// Merges an allotment received from the ledger. Returns whether the primary has grown.
     pub fn on_allotted(&mut self, tenant: &TenantName, allotment: &Allotment) -> bool {
         let account = self.accounts.entry(tenant.clone()).or_default();
         let before = account.allotment.primary;
@@ -175,29 +182,29 @@
         account.allotment.primary > before
     }
 
-    /// Gives back what is held unused beyond `keep`, of the reserve first.
+    /// Returns unused tokens beyond `keep`, from the reserve first.
     pub fn return_excess(&mut self, tenant: &TenantName, keep: Tokens) {
         let Some(account) = self.accounts.get_mut(tenant) else {
             return;
         };
         let excess = account.unused() - keep;
-        let of_reserve = excess.min(account.unused() - account.primary_left());
-        let of_hand = (excess - of_reserve).min(account.primary_left());
-        account.allotment.released += of_reserve;
-        account.allotment.returned += of_hand;
+        let from_reserve = excess.min(account.unused() - account.primary_left());
+        let from_primary = (excess - from_reserve).min(account.primary_left());
+        account.allotment.released += from_reserve;
+        account.allotment.returned += from_primary;
     }
 
-    /// Gives back what is held unused of every tenant for which `keeps` does not hold.
-    pub fn return_unneeded(&mut self, keeps: impl Fn(&TenantName) -> bool) {
+    /// Returns the unused tokens of every tenant for which `is_needed` is false.
+    pub fn return_unneeded(&mut self, is_needed: impl Fn(&TenantName) -> bool) {
         let unneeded = |(tenant, account): (&TenantName, &Account)| {
             let is_held = !account.unused().is_zero();
-            (is_held && !keeps(tenant)).then(|| tenant.clone())
+            (is_held && !is_needed(tenant)).then(|| tenant.clone())
         };
         let tenants: Vec<TenantName> = self.accounts.iter().filter_map(unneeded).collect();
         tenants.iter().for_each(|tenant| self.return_excess(tenant, Tokens::ZERO));
     }
 
-    /// What is held of `tenant`'s budget, for logs.
+    /// What is held of `tenant`'s budget at `now`, for logs.
     pub fn balance(&self, now: Timestamp, tenant: &TenantName) -> Balance {
         let since_contact = now.since(self.contact);
         let Some(account) = self.accounts.get(tenant) else {
@@ -213,18 +220,18 @@
         }
     }
 
-    /// What the hand of `tenant` has left.
+    /// What is left of `tenant`'s primary.
     pub fn primary_left(&self, tenant: &TenantName) -> Tokens {
         self.accounts.get(tenant).map(Account::primary_left).unwrap_or_default()
     }
 
-    /// Whether this router has had to do with any budget.
+    /// Whether this router has an account for any tenant.
     pub fn has_accounts(&self) -> bool {
         !self.accounts.is_empty()
     }
 
-    /// What the ledger's leader needs to know. A request that still waits asks again and is named
-    /// in the next report, too.
+    /// The report for the leader. Clears the wanted amounts; a request that is still waiting
+    /// retries its reservation and so appears in the next report, too.
     pub fn report(&mut self, now: Timestamp) -> Vec<(TenantName, AccountReport)> {
         let report = |(tenant, account): (&TenantName, &mut Account)| {
             let report = AccountReport {
@@ -240,7 +247,7 @@
         self.accounts.iter_mut().map(report).collect()
     }
 
-    /// What each tenant has spent or reserved, for the end of this life.
+    /// What each tenant has spent or reserved: the final usage of a stopping router.
     pub fn used(&self) -> BTreeMap<TenantName, Tokens> {
         self.accounts.iter().map(|(tenant, account)| (tenant.clone(), account.used())).collect()
     }
--- a/crates/prepaid/tests/budget_exhaustion.rs
+++ b/crates/prepaid/tests/budget_exhaustion.rs
@@ -1,11 +1,12 @@
-//! The ends of budgets: what is handed out last, when, and to whom.
+//! How the last parts of budgets are granted: when, and to which requests.
 //!
-//! The failure: of the requests that came after a loss of power of all machines, 22 to 25 in 100 were served, the plain
-//! ones. Every tenant was at the end of its budget. The cause: the last part of each budget had been handed out before the
-//! loss, in hands of which the loss took what was left; what remained lay scattered, a little less than a request at each
-//! router. The evidence: of 1,051 requests that one such day refused for their budgets in its last five and a half seconds 510 were
-//! cheap ones which the router's hand did not cover, with nothing to 1,800 tokens in it, while up to 16,700 of the same budget lay
-//! with all routers together.
+//! Guards against this failure: with every tenant's budget nearly exhausted, only 22 to 25 in 100
+//! of the requests after a loss of power of all machines were served, those to plain services. The
+//! last part of each budget had been granted before the loss, which took what was left in the
+//! routers' primaries; the rest was scattered, a little less than one request needs at each router.
+//! Of 1,051 requests refused for their budgets within five and a half seconds, 510 were cheap ones
+//! that the router's primary of 0 to 1,800 tokens did not cover, while all routers together held up
+//! to 16,700 tokens of the same budget.
 
 use stackpost_prepaid::*;
 use stackpost_types::*;
@@ -13,23 +14,27 @@
 
 const LIMIT: u64 = 1_000_000;
 const ROUTERS: usize = 3;
-/// Time between two rounds of the leader.
+/// Interval between rounds of the leader.
 const ROUND: Millis = Millis(250);
-/// What a cheap request costs.
+/// Cost of a cheap request in tokens.
 const CHEAP: u64 = 1_400;
 
 fn tenant() -> TenantName {
     TenantName::new("ferry")
 }
 
-fn node(machine: usize, life: u64) -> NodeId {
-    NodeId { machine: MachineName::new(format!("m{machine}")), incarnation: Incarnation(life) }
+fn node(machine: usize, incarnation: u64) -> NodeId {
+    NodeId {
+        machine: MachineName::new(format!("m{machine}")),
+        incarnation: Incarnation(incarnation),
+    }
 }
 
-/// Routers whose requests are served at once if the wallet covers them, and a leader that hears all.
+/// Routers that serve a request immediately if the wallet covers it, and a leader that receives
+/// every report.
 struct Fleet {
     now: Timestamp,
-    life: u64,
+    incarnation: u64,
     ledger: PrepaidLedger,
     scarce_limiter: ScarceBudgetLimiter,
     wallets: Vec<Wallet>,
@@ -38,15 +43,15 @@
 }
 
 impl Fleet {
-    /// Every router holds `held`, and nobody holds `unheld`.
-    fn start(held: u64, unheld: u64) -> Self {
-        Self::with_limit(LIMIT, held, unheld)
+    /// Every router holds `held_each`; `unallotted` tokens are not allotted to any router.
+    fn start(held_each: u64, unallotted: u64) -> Self {
+        Self::with_limit(LIMIT, held_each, unallotted)
     }
 
-    fn with_limit(limit: u64, held: u64, unheld: u64) -> Self {
+    fn with_limit(limit: u64, held_each: u64, unallotted: u64) -> Self {
         let mut fleet = Self {
             now: Timestamp(10_000),
-            life: 1,
+            incarnation: 1,
             ledger: PrepaidLedger::default(),
             scarce_limiter: ScarceBudgetLimiter::default(),
             wallets: (0..ROUTERS).map(|_| Wallet::default()).collect(),
@@ -54,11 +59,11 @@
             served: Vec::new(),
         };
         fleet.ledger.set_limits(&[(tenant(), Tokens(limit))]);
-        fleet.allot(&node(ROUTERS, 0), limit - unheld - held * ROUTERS as u64);
+        fleet.allot(&node(ROUTERS, 0), limit - unallotted - held_each * ROUTERS as u64);
         for machine in 0..ROUTERS {
-            fleet.allot(&node(machine, 1), held);
+            fleet.allot(&node(machine, 1), held_each);
         }
-        fleet.tell_routers();
+        fleet.deliver_allotments();
         fleet
     }
 
@@ -74,16 +79,16 @@
         self.ledger.allot(&grant);
     }
 
-    fn tell_routers(&mut self) {
+    fn deliver_allotments(&mut self) {
         for (machine, wallet) in self.wallets.iter_mut().enumerate() {
             wallet.on_contact(self.now);
-            let allotment = self.ledger.allotment(&node(machine, self.life), &tenant());
+            let allotment = self.ledger.allotment(&node(machine, self.incarnation), &tenant());
             wallet.on_allotted(&tenant(), &allotment);
         }
     }
 
-    /// A request comes to a router; one that is covered costs `amount`.
-    fn ask(&mut self, machine: usize, amount: u64) {
+    /// Sends a request to a router; if the wallet covers it, it costs `amount`.
+    fn request(&mut self, machine: usize, amount: u64) {
         let wallet = &mut self.wallets[machine];
         wallet.admits(&tenant(), Tokens(amount), self.forecast);
         if wallet.retry_reserve(self.now, &tenant(), Tokens(amount)).is_ok() {
@@ -92,28 +97,29 @@
         }
     }
 
-    /// What the routers say, a round of the leader, and what follows from it.
+    /// Collects the reports, plans one round and applies the plan.
     fn round(&mut self) {
         self.now = self.now + ROUND;
         let mut reports = BTreeMap::new();
         for (machine, wallet) in self.wallets.iter_mut().enumerate() {
             let accounts: BTreeMap<_, _> = wallet.report(self.now).into_iter().collect();
-            reports.insert(node(machine, self.life), accounts);
+            reports.insert(node(machine, self.incarnation), accounts);
         }
         let plan = plan(&self.ledger, &reports, ROUND, &mut self.scarce_limiter);
         self.forecast = plan.forecasts.get(&tenant()).copied();
-        self.take_back(&reports);
+        self.record_returns(&reports);
         plan.grants.iter().for_each(|grant| self.ledger.allot(grant));
         for recall in &plan.recalls {
-            let machine = (0..ROUTERS).find(|machine| node(*machine, self.life) == recall.holder);
-            let machine = machine.expect("a router of the test");
+            let machine =
+                (0..ROUTERS).find(|machine| node(*machine, self.incarnation) == recall.holder);
+            let machine = machine.expect("recall for an unknown router");
             self.wallets[machine].return_excess(&tenant(), recall.keep);
         }
-        self.tell_routers();
+        self.deliver_allotments();
         assert!(self.ledger.issued(&tenant()) <= Tokens(LIMIT));
     }
 
-    fn take_back(&mut self, reports: &BTreeMap<NodeId, BTreeMap<TenantName, AccountReport>>) {
+    fn record_returns(&mut self, reports: &BTreeMap<NodeId, BTreeMap<TenantName, AccountReport>>) {
         for (holder, accounts) in reports {
             for (tenant, account) in accounts {
                 let (holder, tenant) = (holder.clone(), tenant.clone());
@@ -123,131 +129,142 @@
         }
     }
 
-    /// Cheap requests come to every router until nothing is handed out any more.
+    /// Sends cheap requests to every router until nothing more is granted.
     fn exhaust(&mut self) {
         for _ in 0..400 {
-            (0..ROUTERS).for_each(|machine| self.ask(machine, CHEAP));
+            (0..ROUTERS).for_each(|machine| self.request(machine, CHEAP));
             self.round();
         }
     }
 
-    /// All machines lose power; other lives of the routers follow.
-    fn lose_all(&mut self) {
+    /// All machines lose power; new incarnations of the routers follow.
+    fn power_off_all(&mut self) {
         for machine in 0..ROUTERS {
-            let lost = node(machine, self.life);
+            let lost = node(machine, self.incarnation);
             self.ledger.close(&lost, &IncarnationEnd::Unknown);
             self.scarce_limiter.on_router_lost(self.now, lost.machine);
         }
         assert_eq!(self.scarce_limiter.open_guard_after_loss(self.now, ROUTERS), Some(ROUTERS));
-        self.life += 1;
+        self.incarnation += 1;
         self.wallets = (0..ROUTERS).map(|_| Wallet::default()).collect();
-        self.tell_routers();
+        self.deliver_allotments();
     }
 }
 
 #[test]
-fn a_tenant_at_the_end_of_its_budget_is_served_something_after_a_loss_of_the_fleet() {
+fn guard_serves_nearly_exhausted_tenants_after_loss_of_fleet() {
     let mut fleet = Fleet::start(5_000, 20_000);
     fleet.exhaust();
     let before = fleet.served.len();
     assert!(before > 0);
-    fleet.lose_all();
+    fleet.power_off_all();
     fleet.exhaust();
     let after = fleet.served.len() - before;
-    // Seven thousandths of the limit are kept for that, less what a request does not fit.
-    assert!(after as u64 >= 7 * LIMIT / 1_000 / CHEAP - 1, "{after} served after the loss");
+    // Seven thousandths of the limit are reserved for this, less a rest too small for one request.
+    assert!(
+        after as u64 >= 7 * LIMIT / 1_000 / CHEAP - 1,
+        "{after} requests served after the loss"
+    );
     fleet.exhaust();
-    assert_eq!(fleet.served.len(), before + after, "and no more");
+    assert_eq!(fleet.served.len(), before + after, "no more is granted");
 }
 
 #[test]
-fn what_is_kept_for_a_loss_is_handed_out_over_some_seconds() {
+fn guard_is_granted_over_several_seconds() {
     let mut fleet = Fleet::start(0, 20_000);
     fleet.exhaust();
-    fleet.lose_all();
+    fleet.power_off_all();
     let before = fleet.served.len();
-    let mut moments = Vec::new();
+    let mut served_rounds = Vec::new();
     for round in 0..80 {
         let served = fleet.served.len();
-        (0..ROUTERS).for_each(|machine| fleet.ask(machine, CHEAP));
+        (0..ROUTERS).for_each(|machine| fleet.request(machine, CHEAP));
         fleet.round();
         if fleet.served.len() > served {
-            moments.push(round);
+            served_rounds.push(round);
         }
     }
-    let (first, last) = (moments[0], moments[moments.len() - 1]);
-    assert!(first < 20 && last > 40, "a part of it in each quarter of 20 s: {moments:?}");
+    let (first, last) = (served_rounds[0], served_rounds[served_rounds.len() - 1]);
+    assert!(first < 20 && last > 40, "spread over 20 s, in rounds {served_rounds:?}");
     assert!(fleet.served.len() - before <= (7 * LIMIT / 1_000 / CHEAP) as usize);
 }
 
-/// What a ration saves up in two seconds is less than a request costs there.
+/// The allowance that a small budget accrues in two seconds is less than one request costs.
 #[test]
-fn the_last_part_of_a_small_budget_is_handed_out_as_well() {
+fn last_part_of_a_small_budget_is_granted() {
     let limit = 3 * LIMIT / 10;
     let mut fleet = Fleet::with_limit(limit, 0, limit * 17 / 1_000);
     fleet.exhaust();
-    assert_eq!(fleet.served, [CHEAP], "five thousandths of the limit cover one request");
+    assert_eq!(fleet.served, [CHEAP], "5 thousandths of the limit cover one request");
 }
 
 #[test]
-fn half_of_the_routers_must_be_lost_together() {
+fn guard_opens_when_half_of_the_routers_are_lost_together() {
     let (mut scarce_limiter, machine) =
         (ScarceBudgetLimiter::default(), |number| node(number, 1).machine);
     let at = |seconds: u64| Timestamp(1_000 * seconds);
-    assert_eq!(scarce_limiter.open_guard_after_loss(at(1), 0), None, "nothing was lost");
+    assert_eq!(scarce_limiter.open_guard_after_loss(at(1), 0), None, "no router was lost");
     scarce_limiter.on_router_lost(at(1), machine(0));
     scarce_limiter.on_router_lost(at(2), machine(0));
-    assert_eq!(scarce_limiter.open_guard_after_loss(at(2), 3), None, "one machine of three, twice");
+    assert_eq!(
+        scarce_limiter.open_guard_after_loss(at(2), 3),
+        None,
+        "one machine of three, lost twice"
+    );
     scarce_limiter.on_router_lost(at(6), machine(1));
     assert_eq!(
         scarce_limiter.open_guard_after_loss(at(6), 3),
         None,
-        "the other one was lost long before"
+        "the first router was lost more than 3 s before"
     );
     scarce_limiter.on_router_lost(at(8), machine(2));
     assert!(!scarce_limiter.is_guard_open());
     assert_eq!(scarce_limiter.open_guard_after_loss(at(8), 3), Some(2));
     assert!(scarce_limiter.is_guard_open());
-    assert_eq!(scarce_limiter.open_guard_after_loss(at(9), 3), None, "each loss counts once");
+    assert_eq!(
+        scarce_limiter.open_guard_after_loss(at(9), 3),
+        None,
+        "each loss opens the guard once"
+    );
     scarce_limiter.begin_round(Millis(20_000));
     assert!(!scarce_limiter.is_guard_open());
 }
 
-/// Each router holds a little less than a request costs, and nobody holds anything else.
+/// Each router holds a little less than a request costs, and nothing else can be granted.
 #[test]
-fn what_lies_scattered_is_gathered_for_the_request_that_lacks_least() {
+fn scattered_tokens_are_recalled_for_the_smallest_shortfall() {
     let mut fleet = Fleet::start(900, 5_000);
     for _ in 0..4 {
-        (0..ROUTERS).for_each(|machine| fleet.ask(machine, CHEAP + 100 * machine as u64));
+        (0..ROUTERS).for_each(|machine| fleet.request(machine, CHEAP + 100 * machine as u64));
         fleet.round();
     }
-    assert_eq!(fleet.served, [CHEAP], "2,700 tokens cover one of them");
+    assert_eq!(fleet.served, [CHEAP], "2,700 tokens cover one request");
 }
 
 #[test]
-fn a_hand_holds_nothing_ahead_of_the_requests_once_a_budget_is_scarce() {
+fn scarce_budget_is_granted_to_waiting_requests_only() {
     let mut fleet = Fleet::start(0, 16_000);
     (0..20).for_each(|_| fleet.round());
     let held: Tokens = fleet.wallets.iter().map(|wallet| wallet.primary_left(&tenant())).sum();
     assert_eq!(held, Tokens::ZERO);
-    fleet.ask(2, CHEAP);
+    fleet.request(2, CHEAP);
     fleet.round();
     assert_eq!(fleet.wallets[2].primary_left(&tenant()), Tokens(CHEAP));
 }
 
 #[test]
-fn the_leader_hears_of_the_smallest_request_of_a_scarce_budget_and_of_the_largest_of_others() {
-    for (forecast, told) in [(Some(BudgetForecast::Scarce), 700), (None, 9_000)] {
+fn report_has_smallest_request_if_scarce_else_largest() {
+    for (forecast, expected) in [(Some(BudgetForecast::Scarce), 700), (None, 9_000)] {
         let mut fleet = Fleet::start(0, 0);
         fleet.forecast = forecast;
-        [900, 9_000, 700].into_iter().for_each(|amount| fleet.ask(0, amount));
+        [900, 9_000, 700].into_iter().for_each(|amount| fleet.request(0, amount));
         let (_, account) = fleet.wallets[0].report(fleet.now).remove(0);
-        assert_eq!(account.wanted, Tokens(told));
+        assert_eq!(account.wanted, Tokens(expected));
     }
 }
 
 #[test]
-fn the_last_part_of_a_budget_is_rationed() {
+fn scarce_allowance_is_rate_limited_and_capped() {
     let limit = Tokens(1_000_000);
     let second = scarce_allowance(limit, Millis(1_000));
     assert_eq!(second, Tokens(1_100));
@@ -255,13 +272,13 @@
     assert_eq!(
         scarce_allowance(limit, Millis(60_000)),
         scarce_allowance(limit, Millis(2_000)),
-        "little is saved up"
+        "the allowance accrues over 2 s at most"
     );
 }
 
-/// One router that has used all but the last part of a budget.
+/// One router has used all but the last part of a budget.
 #[test]
-fn a_scarce_budget_is_said_to_be_scarce_and_lasts() {
+fn scarce_budget_is_forecast_as_scarce_and_lasts() {
     let mut ledger = PrepaidLedger::default();
     ledger.set_limits(&[(tenant(), Tokens(LIMIT))]);
     let holder = node(0, 1);
@@ -290,18 +307,21 @@
         used = ledger.allotment(&holder, &tenant()).primary;
         if round == 3 {
             let second = scarce_allowance(Tokens(LIMIT), Millis(1_000));
-            assert!(used <= all_but_last + second, "a second hands out one ration at most");
+            assert!(used <= all_but_last + second, "at most one second's allowance in a second");
         }
     }
-    assert!(used > all_but_last, "something is handed out");
-    // Half a percent of the limit is never handed out, seven thousandths after a loss alone.
-    assert!(used <= all_but_last + Tokens(LIMIT * 3 / 1_000), "no more than the last part");
+    assert!(used > all_but_last, "some of the last part is granted");
+    // Half a percent of the limit is never granted, seven thousandths only after a loss.
+    assert!(
+        used <= all_but_last + Tokens(LIMIT * 3 / 1_000),
+        "nothing beyond the last part is granted"
+    );
 }
 
-/// Requests were refused for the sake of more urgent ones up to fifteen seconds before a budget would have ended; much of
-/// what was kept back was never asked for.
+/// Requests were refused in favour of more urgent ones up to fifteen seconds before the budget
+/// would have been exhausted; much of what was withheld for those was never requested.
 #[test]
-fn a_budget_that_is_about_to_end_serves_every_request_until_it_is_scarce() {
+fn budget_admits_every_request_until_it_is_scarce() {
     let mut wallet = Wallet::default();
     for amount in [12_000, 1_100, 2_400] {
         let almost_over = Some(BudgetForecast::ExhaustedIn(Millis(500)));
@@ -313,10 +333,10 @@
 }
 
 #[test]
-fn the_leader_tells_how_long_a_budget_lasts() {
+fn plan_forecasts_how_long_a_budget_lasts() {
     let mut ledger = PrepaidLedger::default();
     ledger.set_limits(&[(tenant(), Tokens(LIMIT))]);
-    let outlook_at = |rate: u64| {
+    let forecast_at = |rate: u64| {
         let report = AccountReport { rate: Tokens(rate), ..AccountReport::default() };
         let reports = BTreeMap::from([(node(0, 1), BTreeMap::from([(tenant(), report)]))]);
         plan(&ledger, &reports, ROUND, &mut ScarceBudgetLimiter::default())
@@ -324,13 +344,14 @@
             .get(&tenant())
             .copied()
     };
-    // 983,000 tokens can be handed out by demand: 1.7 in 100 are kept for the end.
-    assert_eq!(outlook_at(0), None);
-    assert_eq!(outlook_at(10_000), None, "98 s");
-    assert_eq!(outlook_at(50_000), Some(BudgetForecast::ExhaustedIn(Millis(19_000))));
+    // 983,000 tokens can be granted by demand: 1.7 in 100 are reserved for the end of the budget.
+    assert_eq!(forecast_at(0), None);
+    assert_eq!(forecast_at(10_000), None, "98 s");
+    assert_eq!(forecast_at(50_000), Some(BudgetForecast::ExhaustedIn(Millis(19_000))));
 }
 
-/// A pool of `pool` tokens, and two routers with `reports` that hold nothing.
+/// Plans a round with `pool` tokens in the pool and two routers that hold nothing and send
+/// `reports`.
 fn plan_for(pool: u64, reports: [AccountReport; 2]) -> Plan {
     let mut ledger = PrepaidLedger::default();
     ledger.set_limits(&[(tenant(), Tokens(LIMIT))]);
@@ -361,7 +382,7 @@
 }
 
 #[test]
-fn what_a_request_waits_for_comes_before_what_is_held_ahead_of_demand() {
+fn waiting_requests_are_granted_before_future_demand() {
     let busy = AccountReport { rate: Tokens(50_000), ..AccountReport::default() };
     let waiting = AccountReport { wanted: Tokens(12_000), ..AccountReport::default() };
     let plan = plan_for(15_000, [busy, waiting]);
@@ -369,23 +390,27 @@
 }
 
 #[test]
-fn of_a_budget_that_runs_out_most_lies_with_nobody() {
+fn most_of_a_budget_that_runs_out_stays_unallotted() {
     let busy = AccountReport { rate: Tokens(50_000), ..AccountReport::default() };
     let plan = plan_for(100_000, [busy, busy]);
-    let handed: Tokens = plan.grants.iter().map(|grant| grant.to_primary).sum();
-    assert!(handed <= Tokens(30_000), "{handed} of 100,000 lie in hands");
+    let to_primaries: Tokens = plan.grants.iter().map(|grant| grant.to_primary).sum();
+    assert!(to_primaries <= Tokens(30_000), "{to_primaries} of 100,000 tokens are in primaries");
 }
 
-/// Reserves were a fixed part of what was left, so a loss of all power near the end of a budget took most of the rest.
+/// With reserves that were a fixed part of what was left, a loss of all power near the end of a
+/// budget took most of the rest.
 #[test]
-fn the_less_is_left_the_smaller_a_part_of_it_lies_in_reserves() {
+fn reserve_part_shrinks_as_a_budget_runs_out() {
     let busy = AccountReport { rate: Tokens(25_000), ..AccountReport::default() };
-    let part_in_reserves = |pool: u64| {
+    let reserve_permille = |pool: u64| {
         let plan = plan_for(pool, [busy, busy]);
         let reserved: Tokens =
             plan.grants.iter().map(|grant| grant.amount - grant.to_primary).sum();
         reserved.scaled(1_000, pool)
     };
-    let (lasts_long, runs_out) = (part_in_reserves(700_000), part_in_reserves(200_000));
-    assert!(runs_out + runs_out <= lasts_long, "{runs_out} and {lasts_long} in thousand");
+    let (lasts_long, runs_out) = (reserve_permille(700_000), reserve_permille(200_000));
+    assert!(
+        runs_out + runs_out <= lasts_long,
+        "in thousandths: {runs_out} if the budget runs out, {lasts_long} if it lasts"
+    );
 }
--- a/crates/prepaid/tests/escrow.rs
+++ b/crates/prepaid/tests/escrow.rs
@@ -1,4 +1,4 @@
-//! No tenant is ever given more than its limit, whatever happens to routers and messages.
+//! No tenant is allotted more than its limit, whichever routers crash and messages are lost.
 
 use proptest::prelude::*;
 use stackpost_prepaid::*;
@@ -13,29 +13,32 @@
     TenantName::new(TENANT)
 }
 
-fn node(machine: usize, life: u64) -> NodeId {
-    NodeId { machine: MachineName::new(format!("m{machine}")), incarnation: Incarnation(life) }
+fn node(machine: usize, incarnation: u64) -> NodeId {
+    NodeId {
+        machine: MachineName::new(format!("m{machine}")),
+        incarnation: Incarnation(incarnation),
+    }
 }
 
-/// One router life with the messages it has not taken in yet.
-struct Life {
+/// One router incarnation.
+struct RouterIncarnation {
     node: NodeId,
     wallet: Wallet,
     started: u64,
-    /// What all requests of this life have really used.
+    /// What all requests of this incarnation have actually used.
     used: u64,
 }
 
-/// Steady clocks run alike on all machines of the test, in milliseconds.
-struct World {
+/// A ledger with its routers. The steady clocks of all machines are equal, in milliseconds.
+struct Simulation {
     now: u64,
     ledger: PrepaidLedger,
-    lives: Vec<Life>,
-    next_life: u64,
-    /// Used by lives that have ended.
-    ended: u64,
+    incarnations: Vec<RouterIncarnation>,
+    next_incarnation: u64,
+    /// Tokens used by incarnations that have ended.
+    used_by_ended: u64,
     in_flight: Vec<(usize, u64, u64)>,
-    /// Open to the end of the budget after every router that was lost.
+    /// Its guard opens after every loss of a router.
     scarce_limiter: ScarceBudgetLimiter,
 }
 
@@ -49,49 +52,49 @@
     Finish {
         used_permille: u64,
     },
-    /// A round of the leader with every router in `reach`; answers are lost for `lost`. Without
-    /// `grants` only the contacts are committed.
+    /// A round of the leader with the `connected` routers; the responses to those flagged in
+    /// `lost_responses` are lost. Without `with_grants` only the contacts are committed.
     Round {
-        reach: Vec<bool>,
-        lost: Vec<bool>,
-        grants: bool,
+        connected: Vec<bool>,
+        lost_responses: Vec<bool>,
+        with_grants: bool,
     },
     Kill {
         router: usize,
-        down: u64,
+        downtime: u64,
     },
     PowerOff {
         router: usize,
     },
-    Farewell {
+    PlannedStop {
         router: usize,
     },
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
         let mut ledger = PrepaidLedger::default();
         ledger.set_limits(&[(tenant(), Tokens(LIMIT))]);
-        let mut world = Self {
+        let mut simulation = Self {
             now: 10_000,
             ledger,
-            lives: Vec::new(),
-            next_life: 1,
-            ended: 0,
+            incarnations: Vec::new(),
+            next_incarnation: 1,
+            used_by_ended: 0,
             in_flight: vec![],
             scarce_limiter: ScarceBudgetLimiter::default(),
         };
         for machine in 0..ROUTERS {
-            let life = world.fresh(machine);
-            world.lives.push(life);
+            let incarnation = simulation.start_incarnation(machine);
+            simulation.incarnations.push(incarnation);
         }
-        world
+        simulation
     }
 
-    fn fresh(&mut self, machine: usize) -> Life {
-        self.next_life += 1;
-        let node = node(machine, self.next_life);
-        Life { node, wallet: Wallet::default(), started: self.now, used: 0 }
+    fn start_incarnation(&mut self, machine: usize) -> RouterIncarnation {
+        self.next_incarnation += 1;
+        let node = node(machine, self.next_incarnation);
+        RouterIncarnation { node, wallet: Wallet::default(), started: self.now, used: 0 }
     }
 
     fn step(&mut self, step: &Step) {
@@ -99,72 +102,76 @@
             Step::Wait(time) => self.now += time,
             Step::Request { router, amount } => self.request(*router, *amount),
             Step::Finish { used_permille } => self.finish(*used_permille),
-            Step::Round { reach, lost, grants } => self.round(reach, lost, *grants),
-            Step::Kill { router, down } => {
-                self.now += down;
-                self.lose(*router);
+            Step::Round { connected, lost_responses, with_grants } => {
+                self.round(connected, lost_responses, *with_grants)
+            }
+            Step::Kill { router, downtime } => {
+                self.now += downtime;
+                self.record_loss(*router);
                 self.replace(*router, Some(()));
             }
             Step::PowerOff { router } => {
-                self.lose(*router);
+                self.record_loss(*router);
                 self.replace(*router, None);
             }
-            Step::Farewell { router } => {
-                let spent = self.lives[*router].wallet.used();
-                self.end_life(*router, &IncarnationEnd::Reported(spent));
+            Step::PlannedStop { router } => {
+                let spent = self.incarnations[*router].wallet.used();
+                self.end_incarnation(*router, &IncarnationEnd::Reported(spent));
             }
         }
     }
 
-    /// One loss counts for that of the fleet here.
-    fn lose(&mut self, router: usize) {
-        let (now, machine) = (Timestamp(self.now), self.lives[router].node.machine.clone());
+    /// Treats the loss of one router as a loss of the fleet.
+    fn record_loss(&mut self, router: usize) {
+        let (now, machine) = (Timestamp(self.now), self.incarnations[router].node.machine.clone());
         self.scarce_limiter.on_router_lost(now, machine);
         self.scarce_limiter.open_guard_after_loss(now, 1);
     }
 
     fn request(&mut self, router: usize, amount: u64) {
-        let life = &mut self.lives[router];
-        if life.wallet.reserve(Timestamp(self.now), &tenant(), Tokens(amount)).is_ok() {
-            life.used += amount;
-            self.in_flight.push((router, self.next_life, amount));
+        let incarnation = &mut self.incarnations[router];
+        if incarnation.wallet.reserve(Timestamp(self.now), &tenant(), Tokens(amount)).is_ok() {
+            incarnation.used += amount;
+            self.in_flight.push((router, self.next_incarnation, amount));
         }
     }
 
     fn finish(&mut self, used_permille: u64) {
         if let Some((router, _, amount)) = self.in_flight.pop() {
             let used = amount * used_permille / 1_000;
-            let life = &mut self.lives[router];
-            life.used -= amount - used;
-            life.wallet.settle(&tenant(), Tokens(amount), Tokens(used));
+            let incarnation = &mut self.incarnations[router];
+            incarnation.used -= amount - used;
+            incarnation.wallet.settle(&tenant(), Tokens(amount), Tokens(used));
         }
     }
 
-    /// Routers in reach report completely and are in touch; grants and contacts are committed.
-    fn round(&mut self, reach: &[bool], lost: &[bool], grants: bool) {
+    /// The connected routers report and record a contact; grants and contacts are committed.
+    fn round(&mut self, connected: &[bool], lost_responses: &[bool], with_grants: bool) {
         let now = Timestamp(self.now);
         let mut reports = BTreeMap::new();
         let mut contacts = Vec::new();
-        for (_, life) in self.lives.iter_mut().enumerate().filter(|(index, _)| reach[*index]) {
-            life.wallet.on_contact(now);
+        for (_, incarnation) in
+            self.incarnations.iter_mut().enumerate().filter(|(index, _)| connected[*index])
+        {
+            incarnation.wallet.on_contact(now);
             let accounts: BTreeMap<TenantName, AccountReport> =
-                life.wallet.report(now).into_iter().collect();
-            let gone = accounts
+                incarnation.wallet.report(now).into_iter().collect();
+            let consumed = accounts
                 .iter()
                 .map(|(tenant, account)| (tenant.clone(), account.used + account.returned))
                 .collect::<Vec<_>>();
-            contacts.push((life.node.clone(), gone));
+            contacts.push((incarnation.node.clone(), consumed));
             for (tenant, account) in &accounts {
                 self.ledger.record_return(&TokenReturn {
-                    holder: life.node.clone(),
+                    holder: incarnation.node.clone(),
                     tenant: tenant.clone(),
                     returned: account.returned,
                     released: account.released,
                 });
             }
-            reports.insert(life.node.clone(), accounts);
+            reports.insert(incarnation.node.clone(), accounts);
         }
-        let plan = if grants {
+        let plan = if with_grants {
             plan(&self.ledger, &reports, Millis(250), &mut self.scarce_limiter)
         } else {
             Plan::default()
@@ -172,24 +179,24 @@
         for grant in &plan.grants {
             self.ledger.allot(grant);
         }
-        for (node, gone) in contacts {
+        for (node, consumed) in contacts {
             let contact = BootTimestamp { boot: 1, at: SteadyTime(self.now) };
-            self.ledger.record_contact(&node, contact, &gone);
+            self.ledger.record_contact(&node, contact, &consumed);
         }
-        for (index, life) in self.lives.iter_mut().enumerate() {
-            if !reach[index] || lost[index] {
+        for (index, incarnation) in self.incarnations.iter_mut().enumerate() {
+            if !connected[index] || lost_responses[index] {
                 continue;
             }
-            for (tenant, allotment) in self.ledger.allotments(&life.node) {
-                life.wallet.on_allotted(&tenant, &allotment);
+            for (tenant, allotment) in self.ledger.allotments(&incarnation.node) {
+                incarnation.wallet.on_allotted(&tenant, &allotment);
             }
-            for recall in plan.recalls.iter().filter(|recall| recall.holder == life.node) {
-                life.wallet.return_excess(&recall.tenant, recall.keep);
+            for recall in plan.recalls.iter().filter(|recall| recall.holder == incarnation.node) {
+                incarnation.wallet.return_excess(&recall.tenant, recall.keep);
             }
         }
     }
 
-    /// `same_boot`: the machine has lived on, so its clock bounds the life that has ended.
+    /// With `same_boot` the machine kept running, so its clock bounds the end of the incarnation.
     fn replace(&mut self, router: usize, same_boot: Option<()>) {
         let end = match same_boot {
             Some(()) => {
@@ -197,28 +204,30 @@
             }
             None => IncarnationEnd::Unknown,
         };
-        self.end_life(router, &end);
+        self.end_incarnation(router, &end);
     }
 
-    /// A life that has ended must be charged what it has used, whatever is known of its end.
-    fn end_life(&mut self, router: usize, end: &IncarnationEnd) {
-        let node = self.lives[router].node.clone();
+    /// Closes an incarnation; it must be charged at least what it has used, whatever is known of
+    /// its end.
+    fn end_incarnation(&mut self, router: usize, end: &IncarnationEnd) {
+        let node = self.incarnations[router].node.clone();
         let charges = self.ledger.close(&node, end);
         let charged: u64 = charges.iter().map(|charge| charge.charge.0).sum();
-        let used = self.lives[router].used;
-        assert!(used <= charged, "used {used}, charged {charged}, {end:?}");
-        self.in_flight.retain(|(owner, _, _)| *owner != router);
-        let fresh = self.fresh(router);
-        let ended = std::mem::replace(&mut self.lives[router], fresh);
+        let used = self.incarnations[router].used;
+        assert!(used <= charged, "used {used}, charged {charged}, end {end:?}");
+        self.in_flight.retain(|(router_index, _, _)| *router_index != router);
+        let replacement = self.start_incarnation(router);
+        let ended = std::mem::replace(&mut self.incarnations[router], replacement);
         assert!(ended.started <= self.now);
-        self.ended += ended.used;
+        self.used_by_ended += ended.used;
     }
 
     fn check(&self) {
-        let used: u64 = self.ended + self.lives.iter().map(|life| life.used).sum::<u64>();
+        let used: u64 = self.used_by_ended
+            + self.incarnations.iter().map(|incarnation| incarnation.used).sum::<u64>();
         let issued = self.ledger.issued(&tenant());
-        assert!(used <= issued.0, "used {used} of {issued} issued");
-        assert!(issued.0 <= LIMIT, "issued {issued} of {LIMIT}");
+        assert!(used <= issued.0, "used {used} of {issued} issued tokens");
+        assert!(issued.0 <= LIMIT, "issued {issued} of a limit of {LIMIT} tokens");
     }
 }
 
@@ -231,10 +240,13 @@
             .prop_map(|(router, amount)| Step::Request { router, amount }),
         4 => (0_u64..=1_000).prop_map(|used_permille| Step::Finish { used_permille }),
         6 => (flags(), flags(), any::<bool>())
-            .prop_map(|(reach, lost, grants)| Step::Round { reach, lost, grants }),
-        1 => (router.clone(), 0_u64..3_000).prop_map(|(router, down)| Step::Kill { router, down }),
+            .prop_map(|(connected, lost_responses, with_grants)| {
+                Step::Round { connected, lost_responses, with_grants }
+            }),
+        1 => (router.clone(), 0_u64..3_000)
+            .prop_map(|(router, downtime)| Step::Kill { router, downtime }),
         1 => router.clone().prop_map(|router| Step::PowerOff { router }),
-        1 => router.prop_map(|router| Step::Farewell { router }),
+        1 => router.prop_map(|router| Step::PlannedStop { router }),
     ];
     prop::collection::vec(step, 1..120)
 }
@@ -248,11 +260,11 @@
     })]
 
     #[test]
-    fn what_is_used_never_exceeds_what_is_issued(steps in steps()) {
-        let mut world = World::new();
+    fn usage_never_exceeds_issued_tokens_nor_the_limit(steps in steps()) {
+        let mut simulation = Simulation::new();
         for step in &steps {
-            world.step(step);
-            world.check();
+            simulation.step(step);
+            simulation.check();
         }
     }
 }
@@ -261,58 +273,59 @@
     vec![value; ROUTERS]
 }
 
-/// A world whose first router has asked, been granted and is in touch.
-fn settled_world() -> World {
-    let mut world = World::new();
+/// A simulation whose first router has sent requests, received grants and is connected to the
+/// leader.
+fn simulation_after_grants() -> Simulation {
+    let mut simulation = Simulation::new();
     for _ in 0..12 {
-        world.request(0, 500);
-        world.round(&all(true), &all(false), true);
-        world.now += 250;
+        simulation.request(0, 500);
+        simulation.round(&all(true), &all(false), true);
+        simulation.now += 250;
     }
-    world
+    simulation
 }
 
 #[test]
-fn a_killed_router_is_charged_less_than_it_held() {
-    let mut world = settled_world();
-    let node = world.lives[0].node.clone();
-    let held = world.ledger.allotment(&node, &tenant()).outstanding();
-    world.step(&Step::Kill { router: 0, down: 800 });
-    world.check();
-    assert!(world.ledger.issued(&tenant()) < held, "some of the reserve comes back");
+fn killed_router_is_charged_less_than_it_held() {
+    let mut simulation = simulation_after_grants();
+    let node = simulation.incarnations[0].node.clone();
+    let held = simulation.ledger.allotment(&node, &tenant()).outstanding();
+    simulation.step(&Step::Kill { router: 0, downtime: 800 });
+    simulation.check();
+    assert!(simulation.ledger.issued(&tenant()) < held, "some of the reserve is available again");
 }
 
 #[test]
-fn a_router_that_lost_power_is_charged_all_that_it_held() {
-    let mut world = settled_world();
-    let before = world.ledger.issued(&tenant());
-    world.step(&Step::PowerOff { router: 0 });
-    assert_eq!(world.ledger.issued(&tenant()), before);
+fn router_that_lost_power_is_charged_all_it_held() {
+    let mut simulation = simulation_after_grants();
+    let before = simulation.ledger.issued(&tenant());
+    simulation.step(&Step::PowerOff { router: 0 });
+    assert_eq!(simulation.ledger.issued(&tenant()), before);
 }
 
 #[test]
-fn a_farewell_gives_everything_unspent_back() {
-    let mut world = settled_world();
-    let used = world.lives[0].used;
-    world.step(&Step::Farewell { router: 0 });
-    assert_eq!(world.ledger.issued(&tenant()), Tokens(used));
+fn final_usage_returns_all_unspent_tokens() {
+    let mut simulation = simulation_after_grants();
+    let used = simulation.incarnations[0].used;
+    simulation.step(&Step::PlannedStop { router: 0 });
+    assert_eq!(simulation.ledger.issued(&tenant()), Tokens(used));
 }
 
 #[test]
-fn out_of_touch_the_reserve_opens_after_the_lock_and_not_before() {
-    let mut world = settled_world();
-    let primary = world.lives[0].wallet.primary_left(&tenant());
-    let more_than_hand = primary + Tokens(1);
-    let now = Timestamp(world.now);
-    let wallet = &mut world.lives[0].wallet;
+fn reserve_unlocks_only_after_the_delay() {
+    let mut simulation = simulation_after_grants();
+    let primary = simulation.incarnations[0].wallet.primary_left(&tenant());
+    let more_than_primary = primary + Tokens(1);
+    let now = Timestamp(simulation.now);
+    let wallet = &mut simulation.incarnations[0].wallet;
     wallet.on_contact(now);
-    assert!(wallet.reserve(now, &tenant(), more_than_hand).is_err());
+    assert!(wallet.reserve(now, &tenant(), more_than_primary).is_err());
     let after = now + Millis(RESERVE_UNLOCK_DELAY.0 + 2_000);
-    assert!(wallet.reserve(after, &tenant(), more_than_hand).is_ok());
+    assert!(wallet.reserve(after, &tenant(), more_than_primary).is_ok());
 }
 
 #[test]
-fn a_clock_that_has_begun_anew_bounds_nothing() {
+fn timestamps_of_different_boots_are_not_comparable() {
     let earlier = BootTimestamp { boot: 1, at: SteadyTime(5_000) };
     assert_eq!(BootTimestamp { boot: 2, at: SteadyTime(9_000) }.since(earlier), None);
     assert_eq!(BootTimestamp { boot: 1, at: SteadyTime(4_000) }.since(earlier), None);
@@ -320,7 +333,7 @@
 }
 
 #[test]
-fn late_and_repeated_totals_do_no_harm() {
+fn merge_ignores_late_and_duplicate_totals() {
     let newer = Allotment {
         allotted: Tokens(90),
         primary: Tokens(30),
@@ -336,7 +349,7 @@
 }
 
 #[test]
-fn a_grant_is_cut_to_what_is_left() {
+fn grant_is_limited_to_what_is_available() {
     let mut ledger = PrepaidLedger::default();
     ledger.set_limits(&[(tenant(), Tokens(100))]);
     let grant = |machine, amount| Grant {
@@ -353,13 +366,13 @@
 }
 
 #[test]
-fn a_lowered_limit_hands_out_nothing_more_and_a_raised_one_the_difference() {
-    let mut world = settled_world();
-    let issued = world.ledger.issued(&tenant());
-    world.ledger.set_limits(&[(tenant(), Tokens(issued.0 / 2))]);
-    assert_eq!(world.ledger.available(&tenant()), Tokens::ZERO);
-    world.ledger.set_limits(&[(tenant(), issued + Tokens(10))]);
-    assert_eq!(world.ledger.available(&tenant()), Tokens(10));
+fn changed_limit_changes_what_is_available() {
+    let mut simulation = simulation_after_grants();
+    let issued = simulation.ledger.issued(&tenant());
+    simulation.ledger.set_limits(&[(tenant(), Tokens(issued.0 / 2))]);
+    assert_eq!(simulation.ledger.available(&tenant()), Tokens::ZERO);
+    simulation.ledger.set_limits(&[(tenant(), issued + Tokens(10))]);
+    assert_eq!(simulation.ledger.available(&tenant()), Tokens(10));
 }
 
 fn report_of(wanted: u64, used: u64) -> AccountReport {
@@ -372,9 +385,9 @@
     }
 }
 
-/// Everything is with routers that do not need it while a request waits at another one.
+/// Idle routers hold nearly the whole budget while a request waits at another router.
 #[test]
-fn what_a_request_waits_for_is_called_back_from_idle_routers() {
+fn tokens_for_a_waiting_request_are_recalled_from_idle_routers() {
     let mut ledger = PrepaidLedger::default();
     ledger.set_limits(&[(tenant(), Tokens(LIMIT))]);
     let mut wallets: Vec<Wallet> = (0..ROUTERS).map(|_| Wallet::default()).collect();
@@ -396,8 +409,8 @@
     let planned = plan(&ledger, &reports, Millis(250), &mut ScarceBudgetLimiter::default());
     for recall in &planned.recalls {
         let machine = (0..ROUTERS).find(|machine| node(*machine, 1) == recall.holder);
-        let machine = machine.expect("a router of the test");
-        assert_ne!(machine, 0, "nothing is taken from whoever is short");
+        let machine = machine.expect("recall for an unknown router");
+        assert_ne!(machine, 0, "nothing is recalled from the router whose request waits");
         wallets[machine].return_excess(&tenant(), recall.keep);
         let (_, account) = wallets[machine].report(Timestamp(1)).remove(0);
         ledger.record_return(&TokenReturn {
@@ -410,13 +423,14 @@
     let next = plan(&ledger, &reports, Millis(250), &mut ScarceBudgetLimiter::default());
     next.grants.iter().for_each(|grant| ledger.allot(grant));
     let allotment = ledger.allotment(&node(0, 1), &tenant());
-    assert!(allotment.usable_primary() >= Tokens(60_000), "hand {}", allotment.usable_primary());
+    assert!(allotment.usable_primary() >= Tokens(60_000), "primary {}", allotment.usable_primary());
     assert!(ledger.issued(&tenant()) <= Tokens(LIMIT));
 }
 
-/// The leader moves reserve to the hand while the router gives the same reserve back.
+/// The leader moves tokens from the reserve to the primary while the router returns the same
+/// tokens.
 #[test]
-fn a_reserve_that_is_given_back_while_the_hand_grows_out_of_it_is_spent_once() {
+fn released_reserve_moved_to_the_primary_is_spent_once() {
     let mut ledger = PrepaidLedger::default();
     ledger.set_limits(&[(tenant(), Tokens(LIMIT))]);
     let mut wallet = Wallet::default();
@@ -444,51 +458,59 @@
     assert_eq!(ledger.issued(&tenant()), Tokens(10));
 }
 
-/// A control replica was suspended while a router out of touch drew on its reserve, and bounds the end of
-/// that life by its own clock: the router's echo plus the time since, as far as that clock has counted it.
-/// Returns what the life has used and what it is charged.
-fn life_bounded_by_a_suspended_replica(clock_goes_on: bool) -> (u64, u64) {
-    let mut world = settled_world();
-    world.round(&all(true), &all(false), true);
-    let heard = world.now;
+/// A control replica is suspended while a disconnected router draws on its reserve, and bounds the
+/// end of that incarnation by its own clock: the router's last timestamp plus the time since, as
+/// far as the replica's clock has counted it. Returns what the incarnation has used and is charged.
+fn charge_bounded_by_a_suspended_replica(clock_keeps_running: bool) -> (u64, u64) {
+    let mut simulation = simulation_after_grants();
+    simulation.round(&all(true), &all(false), true);
+    let last_contact = simulation.now;
     let suspended = RESERVE_UNLOCK_DELAY.0 + 3_000;
-    world.now += suspended;
-    while world.lives[0].wallet.reserve(Timestamp(world.now), &tenant(), Tokens(10)).is_ok() {
-        world.lives[0].used += 10;
+    simulation.now += suspended;
+    while simulation.incarnations[0]
+        .wallet
+        .reserve(Timestamp(simulation.now), &tenant(), Tokens(10))
+        .is_ok()
+    {
+        simulation.incarnations[0].used += 10;
     }
-    let counted = if clock_goes_on { suspended } else { 0 };
-    let end = BootTimestamp { boot: 1, at: SteadyTime(heard + counted) };
-    let node = world.lives[0].node.clone();
-    let charges = world.ledger.close(&node, &IncarnationEnd::EndedBefore(end));
-    (world.lives[0].used, charges.iter().map(|charge| charge.charge.0).sum())
+    let counted = if clock_keeps_running { suspended } else { 0 };
+    let end = BootTimestamp { boot: 1, at: SteadyTime(last_contact + counted) };
+    let node = simulation.incarnations[0].node.clone();
+    let charges = simulation.ledger.close(&node, &IncarnationEnd::EndedBefore(end));
+    (simulation.incarnations[0].used, charges.iter().map(|charge| charge.charge.0).sum())
 }
 
 #[test]
-fn a_replica_that_was_suspended_charges_a_life_all_that_it_used() {
-    let (used, charged) = life_bounded_by_a_suspended_replica(true);
+fn replica_charges_all_usage_after_its_suspension() {
+    let (used, charged) = charge_bounded_by_a_suspended_replica(true);
     assert!(used <= charged, "used {used}, charged {charged}");
 }
 
-/// Shows that the test above would see the wrong clock.
+/// Shows that the test above detects a clock that stops during a suspension.
 #[test]
-fn a_clock_that_stands_still_in_suspension_would_charge_too_little() {
-    let (used, charged) = life_bounded_by_a_suspended_replica(false);
+fn clock_stopped_by_suspension_would_charge_too_little() {
+    let (used, charged) = charge_bounded_by_a_suspended_replica(false);
     assert!(used > charged, "used {used}, charged {charged}");
 }
 
-/// A router that was suspended itself has drawn nothing meanwhile; its clock has gone on, so the reserve is
-/// open by then and its pace is that of the ledger.
+/// A suspended router draws nothing meanwhile, but its clock keeps running: when it resumes, its
+/// reserve is unlocked and follows the draw rate that the ledger assumes.
 #[test]
-fn a_router_that_wakes_draws_no_more_than_the_ledger_has_counted() {
-    let mut world = settled_world();
-    world.round(&all(true), &all(false), true);
+fn resumed_router_draws_no_more_than_the_ledger_counted() {
+    let mut simulation = simulation_after_grants();
+    simulation.round(&all(true), &all(false), true);
     for pause in [RESERVE_UNLOCK_DELAY.0 + 3_000, 40, 40, 2_000] {
-        world.now += pause;
-        while world.lives[0].wallet.reserve(Timestamp(world.now), &tenant(), Tokens(10)).is_ok() {
-            world.lives[0].used += 10;
+        simulation.now += pause;
+        while simulation.incarnations[0]
+            .wallet
+            .reserve(Timestamp(simulation.now), &tenant(), Tokens(10))
+            .is_ok()
+        {
+            simulation.incarnations[0].used += 10;
         }
-        world.check();
+        simulation.check();
     }
-    world.step(&Step::Kill { router: 0, down: 0 });
-    world.check();
+    simulation.step(&Step::Kill { router: 0, downtime: 0 });
+    simulation.check();
 }
