--- a/crates/ledger/src/holding.rs
+++ b/crates/ledger/src/holding.rs
@@ -4,7 +4,7 @@
 use stackpost_types::{AccountId, Tokens};
 use std::collections::BTreeMap;
 
-/// Rights of one account to one budget. Every total only grows, except `reserved`.
+/// Rights of one account to one budget. Every total is monotone, except `reserved`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Holding {
     issued: Tokens,
@@ -13,7 +13,7 @@
     returned: Tokens,
     spent: Tokens,
     reserved: Tokens,
-    // Sums of the two maps, kept so that reading the available amount takes constant time.
+    // Sums of the two maps, so that `available` takes constant time.
     received_sum: Tokens,
     sent_sum: Tokens,
 }
@@ -21,33 +21,34 @@
 impl Holding {
     /// What may still be reserved, sent or returned.
     pub fn available(&self) -> Tokens {
-        let income = self.issued + self.received_sum;
-        let outgo = self.sent_sum + self.returned + self.spent + self.reserved;
-        income - outgo
+        let total_in = self.issued + self.received_sum;
+        let total_out = self.sent_sum + self.returned + self.spent + self.reserved;
+        total_in - total_out
     }
 
-    /// Whether more has gone out than came in. Never true; checked by tests.
+    /// Whether more was sent, returned, spent and reserved than issued and received. Never true;
+    /// checked by tests.
     pub fn is_overdrawn(&self) -> bool {
-        let outgo = self.sent_sum + self.returned + self.spent + self.reserved;
-        outgo > self.issued + self.received_sum
+        let total_out = self.sent_sum + self.returned + self.spent + self.reserved;
+        total_out > self.issued + self.received_sum
     }
 
-    /// What was billed in all.
+    /// Total billed.
     pub fn spent(&self) -> Tokens {
         self.spent
     }
 
-    /// What recorded requests may still cost.
+    /// The most that unsettled requests may still cost.
     pub fn reserved(&self) -> Tokens {
         self.reserved
     }
 
-    /// What was given back to the control plane in all.
+    /// Total returned to the control plane.
     pub fn returned(&self) -> Tokens {
         self.returned
     }
 
-    /// What the control plane issued in all, as far as is known here.
+    /// Total issued by the control plane, as far as known here.
     pub fn issued(&self) -> Tokens {
         self.issued
     }
--- a/crates/ledger/src/mirror.rs
+++ b/crates/ledger/src/mirror.rs
@@ -1,25 +1,25 @@
-//! The backup's side of an account, and the messages between owner and backup.
+//! The backup's copy of an account, and the messages between owner and backup.
 
 use crate::record::Record;
 use crate::state::AccountState;
 use serde::{Deserialize, Serialize};
 use stackpost_types::*;
 
-/// From the owner to a backup or to a node that is to become one.
+/// Message from the owner to a backup or a backup candidate.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum MirrorMessage {
-    /// The whole account after the change numbered `sequence`.
+    /// The complete account after the change numbered `sequence`.
     Snapshot {
         /// The account.
         account: AccountId,
         /// The epoch the owner knows.
         epoch: Epoch,
-        /// Changes that the copy reflects.
+        /// Number of the last change in the copy.
         sequence: u64,
         /// The copy.
         state: Box<AccountState>,
     },
-    /// Changes, the first of them numbered `first`. With none it is a heartbeat.
+    /// Changes numbered from `first`. An empty batch is a heartbeat.
     Batch {
         /// The account.
         account: AccountId,
@@ -33,7 +33,7 @@
 }
 
 impl MirrorMessage {
-    /// The account spoken of.
+    /// The account that the message is about.
     pub fn account(&self) -> &AccountId {
         match self {
             Self::Snapshot { account, .. } | Self::Batch { account, .. } => account,
@@ -48,33 +48,34 @@
     }
 }
 
-/// From a backup to the owner.
+/// Acknowledgement from a backup to the owner.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MirrorAck {
     /// The account.
     pub account: AccountId,
-    /// All changes up to this one are held. `None`: there is no copy; send a base.
+    /// All changes up to this one are held. `None` if there is no copy; the owner then sends a
+    /// snapshot.
     pub sequence: Option<u64>,
 }
 
 /// A backup's copy of an account.
 #[derive(Clone, Debug)]
 pub struct MirroredAccount {
-    /// The owner that feeds it.
+    /// The owner it is replicated from.
     pub owner: NodeId,
-    /// Newest epoch seen in a message.
+    /// Newest epoch received from the owner.
     pub epoch: Epoch,
-    /// Changes that the copy reflects.
+    /// Number of the last change in the copy.
     pub sequence: u64,
     /// The copy.
     pub state: AccountState,
-    /// When the owner was heard from last.
+    /// When the last message from the owner was received.
     pub heard_at: Timestamp,
 }
 
 impl MirroredAccount {
-    /// Takes in a message from `owner`. The caller has made sure that `owner` still is the owner
-    /// by the newest view known here. Returns the copy and the acknowledgement.
+    /// Processes a message from `owner`. The caller must have checked that `owner` is still the
+    /// owner by the newest view known here. Returns the copy and the acknowledgement.
     pub fn receive(
         held: Option<Self>,
         now: Timestamp,
@@ -84,15 +85,15 @@
         let account = message.account().clone();
         let copy = match (held, message) {
             (held, MirrorMessage::Snapshot { epoch, sequence, state, .. }) => {
-                Some(Self::take_base(held, now, owner, epoch, sequence, *state))
+                Some(Self::apply_snapshot(held, now, owner, epoch, sequence, *state))
             }
             (Some(held), MirrorMessage::Batch { epoch, first, records, .. })
                 if held.owner == *owner =>
             {
-                Some(held.take_batch(now, epoch, first, records))
+                Some(held.apply_batch(now, epoch, first, records))
             }
             (held, MirrorMessage::Batch { .. }) => {
-                // No copy under this owner: acknowledging would promise what is not held.
+                // There is no copy from this owner, so the batch must not be acknowledged.
                 return (held, MirrorAck { account, sequence: None });
             }
         };
@@ -100,7 +101,7 @@
         (copy, MirrorAck { account, sequence })
     }
 
-    fn take_base(
+    fn apply_snapshot(
         held: Option<Self>,
         now: Timestamp,
         owner: &NodeId,
@@ -108,7 +109,7 @@
         sequence: u64,
         state: AccountState,
     ) -> Self {
-        // A base that was delayed behind newer batches must not take the copy back.
+        // A snapshot that arrives after newer batches must not revert the copy.
         if let Some(mut held) = held
             && held.owner == *owner
             && held.sequence >= sequence
@@ -119,7 +120,7 @@
         Self { owner: owner.clone(), epoch, sequence, state, heard_at: now }
     }
 
-    fn take_batch(
+    fn apply_batch(
         mut self,
         now: Timestamp,
         epoch: Epoch,
@@ -129,7 +130,8 @@
         self.heard_at = now;
         self.epoch = self.epoch.max(epoch);
         for (number, record) in (first..).zip(records) {
-            // Repeated changes are skipped; a gap ends the batch until it has been filled.
+            // Duplicate changes are skipped; after a gap the rest of the batch is ignored until the
+            // gap has been filled.
             if number == self.sequence + 1 {
                 self.state.apply(&record);
                 self.sequence = number;
--- a/crates/ledger/src/record.rs
+++ b/crates/ledger/src/record.rs
@@ -1,4 +1,4 @@
-//! Changes of an account, as they are mirrored.
+//! Changes of an account, as replicated to its backup.
 
 use serde::{Deserialize, Serialize};
 use stackpost_types::*;
@@ -7,7 +7,7 @@
 /// Digest of a tenant and its idempotency key.
 pub type KeyDigest = Digest;
 
-/// A request that may have been sent to a back end and is not settled.
+/// A request that may have been sent to a back end and is not yet settled.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Intent {
     /// The budget it draws on.
@@ -16,25 +16,26 @@
     pub tenant: TenantName,
     /// The most it can cost.
     pub bound: Tokens,
-    /// Where it is sent.
+    /// The back end it is sent to.
     pub back_end: BackEndName,
-    /// Whether another attempt may follow one that may have run.
+    /// Whether the request may be retried after an attempt that may have run.
     pub repeatable: bool,
     /// Its idempotency key, if it has one.
     pub key: Option<KeyDigest>,
 }
 
-/// How the amount of a bill was found.
+/// How the amount of a bill was determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum BillKind {
     /// The back end's own count, or the route's price.
     Reported,
     /// The back end reported more than was reserved; the reserved amount is billed.
     CappedAtBound,
-    /// The back end reported less than it sent, or nothing; what was counted here is billed.
+    /// The back end reported less than it sent, or nothing; the tokens counted by the router are
+    /// billed.
     Counted,
-    /// The router died while the request ran and the back end could not say; the reserved amount
-    /// is billed.
+    /// The router crashed while the request ran and the back end could not report the usage; the
+    /// reserved amount is billed.
     Estimated,
 }
 
@@ -45,37 +46,37 @@
     pub sequence: u64,
     /// The request.
     pub request: RequestId,
-    /// Who is billed.
+    /// The tenant billed.
     pub tenant: TenantName,
     /// The budget drawn on.
     pub budget: BudgetName,
     /// The amount.
     pub tokens: Tokens,
-    /// How the amount was found.
+    /// How the amount was determined.
     pub kind: BillKind,
-    /// When it was settled.
+    /// Time of the settlement.
     pub at: WallTime,
 }
 
-/// A whole answer, kept for a retry under the same idempotency key.
+/// A complete response, kept for a retry under the same idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredAnswer {
     /// HTTP status.
     pub status: u16,
     /// Content type.
     pub content_type: String,
-    /// The whole body.
+    /// The complete body.
     pub body: Arc<Vec<u8>>,
     /// Tokens billed.
     pub billed: Tokens,
 }
 
-/// Status of a [`StoredAnswer`] that says only that the request may have run.
+/// Status of a [`StoredAnswer`] that records only that the request may have run.
 const UNKNOWN_STATUS: u16 = 0;
 
 impl StoredAnswer {
-    /// Stands in for the answer of a request that may have run and whose answer is lost, so that
-    /// a retry under its key is not taken for a first attempt.
+    /// Placeholder for the lost response of a request that may have run, so that a retry under its
+    /// key is not treated as a first attempt.
     pub fn unknown() -> Self {
         Self {
             status: UNKNOWN_STATUS,
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Whether this only says that the request may have run.
+    /// Whether this records only that the request may have run.
     pub fn is_unknown(&self) -> bool {
         self.status == UNKNOWN_STATUS
     }
@@ -98,39 +99,39 @@
     pub request: RequestId,
     /// The account whose owner runs it.
     pub holder: AccountId,
-    /// Digest of the request's content: the same key with other content is an error.
+    /// Digest of the request's content; the same key with different content is an error.
     pub fingerprint: Digest,
 }
 
 /// One change of an account.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Record {
-    /// The control plane has issued `total` in all.
+    /// The control plane has issued `total` so far.
     Issued {
         /// The budget.
         budget: BudgetName,
         /// The monotone total.
         total: Tokens,
     },
-    /// `total` has come from another account in all.
+    /// `total` has been received from another account so far.
     Received {
         /// The budget.
         budget: BudgetName,
-        /// The giver.
+        /// The sending account.
         from: AccountId,
         /// The monotone total.
         total: Tokens,
     },
-    /// `total` has gone to another account in all.
+    /// `total` has been sent to another account so far.
     Sent {
         /// The budget.
         budget: BudgetName,
-        /// The receiver.
+        /// The receiving account.
         to: AccountId,
         /// The monotone total.
         total: Tokens,
     },
-    /// `total` was given back to the control plane in all.
+    /// `total` has been returned to the control plane so far.
     Returned {
         /// The budget.
         budget: BudgetName,
@@ -142,45 +143,45 @@
     Intent {
         /// The request.
         request: RequestId,
-        /// What it may cost and where it goes.
+        /// Its cost bound and destination.
         intent: Intent,
     },
-    /// A request did not run, or was given up without a bill.
+    /// A request did not run, or was abandoned without a bill.
     Release {
         /// The request.
         request: RequestId,
     },
-    /// A request is billed, once.
+    /// A request is billed, at most once.
     Settle {
         /// The request.
         request: RequestId,
         /// The amount; never above the intent's bound.
         tokens: Tokens,
-        /// How the amount was found.
+        /// How the amount was determined.
         kind: BillKind,
-        /// When.
+        /// Time of the settlement.
         at: WallTime,
-        /// The answer, if the request has a key.
+        /// The response, if the request has a key.
         answer: Option<StoredAnswer>,
     },
     /// A majority of control replicas has stored the bills up to this one.
     BillsArchived {
-        /// The last such bill.
+        /// Sequence number of the last such bill.
         up_to: u64,
     },
-    /// A key belongs to a request.
+    /// A key is claimed for a request.
     Claim {
         /// The key.
         key: KeyDigest,
-        /// The request.
+        /// The claim.
         claim: KeyClaim,
     },
-    /// A key is free again, or its retention has passed.
+    /// A key may be used again, or its retention period has passed.
     DropKey {
         /// The key.
         key: KeyDigest,
     },
-    /// A stored answer's retention has passed.
+    /// The retention period of a stored answer has passed.
     DropAnswer {
         /// The request.
         request: RequestId,
--- a/crates/ledger/src/state.rs
+++ b/crates/ledger/src/state.rs
@@ -1,4 +1,4 @@
-//! The replicated content of an account.
+//! The replicated state of an account.
 
 use crate::holding::Holding;
 use crate::record::*;
@@ -6,7 +6,7 @@
 use stackpost_types::*;
 use std::collections::BTreeMap;
 
-/// What the owner and the backup of an account both hold. Changed by [`Self::apply`] alone.
+/// State that the owner and the backup of an account both hold. Changed only by [`Self::apply`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AccountState {
     holdings: BTreeMap<BudgetName, Holding>,
@@ -33,12 +33,12 @@
         self.holdings.get(budget).map(Holding::available).unwrap_or_default()
     }
 
-    /// Requests that may have been sent and are not settled.
+    /// Requests that may have been sent and are not yet settled.
     pub fn intents(&self) -> &BTreeMap<RequestId, Intent> {
         &self.intents
     }
 
-    /// Bills that the control replicas have not yet all stored.
+    /// Bills that a majority of control replicas has not yet stored.
     pub fn bills(&self) -> &BTreeMap<u64, Bill> {
         &self.bills
     }
@@ -53,12 +53,12 @@
         self.claims.get(key)
     }
 
-    /// All keys kept here.
+    /// Claims of all keys in this account.
     pub fn claims(&self) -> &BTreeMap<KeyDigest, KeyClaim> {
         &self.claims
     }
 
-    /// The stored answer to a request.
+    /// The stored answer of a request.
     pub fn answer(&self, request: &RequestId) -> Option<&StoredAnswer> {
         self.answers.get(request)
     }
@@ -68,19 +68,19 @@
         &self.answers
     }
 
-    /// Applies one change. Deterministic, and tolerant of changes that no longer apply: a second
-    /// settlement of a request changes nothing.
+    /// Applies one change. Deterministic. Changes that no longer apply are ignored: a second
+    /// settlement of a request has no effect.
     pub fn apply(&mut self, record: &Record) {
         match record {
-            Record::Issued { budget, total } => self.entry(budget).raise_issued(*total),
+            Record::Issued { budget, total } => self.holding_mut(budget).raise_issued(*total),
             Record::Received { budget, from, total } => {
-                self.entry(budget).raise_received(from, *total);
+                self.holding_mut(budget).raise_received(from, *total);
             }
-            Record::Sent { budget, to, total } => self.entry(budget).raise_sent(to, *total),
-            Record::Returned { budget, total } => self.entry(budget).raise_returned(*total),
-            Record::Intent { request, intent } => self.begin(*request, intent.clone()),
+            Record::Sent { budget, to, total } => self.holding_mut(budget).raise_sent(to, *total),
+            Record::Returned { budget, total } => self.holding_mut(budget).raise_returned(*total),
+            Record::Intent { request, intent } => self.begin_request(*request, intent.clone()),
             Record::Release { request } => {
-                self.end(request);
+                self.remove_intent(request);
             }
             Record::Settle { request, tokens, kind, at, answer } => {
                 self.settle(*request, *tokens, *kind, *at, answer.clone());
@@ -98,22 +98,22 @@
         }
     }
 
-    fn entry(&mut self, budget: &BudgetName) -> &mut Holding {
+    fn holding_mut(&mut self, budget: &BudgetName) -> &mut Holding {
         if !self.holdings.contains_key(budget) {
             self.holdings.insert(budget.clone(), Holding::default());
         }
         self.holdings.get_mut(budget).expect("inserted above")
     }
 
-    fn begin(&mut self, request: RequestId, intent: Intent) {
-        self.end(&request);
-        self.entry(&intent.budget).reserve(intent.bound);
+    fn begin_request(&mut self, request: RequestId, intent: Intent) {
+        self.remove_intent(&request);
+        self.holding_mut(&intent.budget).reserve(intent.bound);
         self.intents.insert(request, intent);
     }
 
-    fn end(&mut self, request: &RequestId) -> Option<Intent> {
+    fn remove_intent(&mut self, request: &RequestId) -> Option<Intent> {
         let intent = self.intents.remove(request)?;
-        self.entry(&intent.budget).release(intent.bound);
+        self.holding_mut(&intent.budget).release(intent.bound);
         Some(intent)
     }
 
@@ -125,11 +125,11 @@
         at: WallTime,
         answer: Option<StoredAnswer>,
     ) {
-        let Some(intent) = self.end(&request) else {
+        let Some(intent) = self.remove_intent(&request) else {
             return;
         };
         let tokens = tokens.min(intent.bound);
-        self.entry(&intent.budget).spend(tokens);
+        self.holding_mut(&intent.budget).spend(tokens);
         self.last_bill += 1;
         let bill = Bill {
             sequence: self.last_bill,
