--- a/crates/balance/src/back_end.rs
+++ b/crates/balance/src/back_end.rs
@@ -1,4 +1,4 @@
-//! What a router knows about one back end.
+//! A router's view of one back end.
 
 use crate::prefix::CacheIndex;
 use serde::{Deserialize, Serialize};
@@ -6,43 +6,44 @@
 use stackpost_types::{Millis, Timestamp};
 use std::collections::VecDeque;
 
-/// Longest ejection, as a multiple of the first.
+/// Maximum number of times that the ejection time is doubled for consecutive ejections.
 const MAX_EJECT_DOUBLINGS: u32 = 5;
 
-/// A back end's own account of its load, as of some time ago.
+/// A back end's report of its load, sampled some time before it is received.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Requests being worked on.
+    /// Requests being processed.
     pub running: u32,
-    /// Requests waiting inside the back end.
+    /// Requests queued inside the back end.
     pub waiting: u32,
-    /// Age of the figures when they were sent.
+    /// Age of the sample in milliseconds when the report was sent.
     pub age_ms: u64,
 }
 
 /// One back end as a router sees it.
 #[derive(Clone, Debug)]
 pub struct BackEnd {
-    /// Its row of the table.
+    /// Its row in the table.
     pub row: BackEndRow,
-    /// What its prompt cache is believed to hold.
+    /// Estimated content of its prompt cache.
     pub cache: CacheIndex,
-    /// Requests that this router has there now.
+    /// Requests from this router that are in flight there.
     pub in_flight: u32,
     leaving_by_platform: bool,
     report: LoadReport,
     reported_at: Timestamp,
-    /// Times of this router's dispatches that the report can't reflect yet.
+    /// Times of this router's dispatches since the report was sampled, which it does not include.
     recent_dispatches: VecDeque<Timestamp>,
-    failures_in_row: u32,
-    ejections_in_row: u32,
+    consecutive_failures: u32,
+    consecutive_ejections: u32,
     ejected_until: Option<Timestamp>,
-    /// It has asked for rest until then. Not a guess as an ejection is: it holds whatever a report says.
-    rests_until: Timestamp,
+    /// End of the backoff that it asked for. Unlike an ejection, which is inferred from failures,
+    /// it stays in force whatever a load report says.
+    backoff_until: Timestamp,
 }
 
 impl BackEnd {
-    /// A back end of which nothing but its row is known.
+    /// Creates a back end of which only its row is known.
     pub fn new(row: BackEndRow) -> Self {
         Self {
             row,
@@ -52,56 +53,59 @@
             report: LoadReport::default(),
             reported_at: Timestamp::default(),
             recent_dispatches: VecDeque::new(),
-            failures_in_row: 0,
-            ejections_in_row: 0,
+            consecutive_failures: 0,
+            consecutive_ejections: 0,
             ejected_until: None,
-            rests_until: Timestamp::default(),
+            backoff_until: Timestamp::default(),
         }
     }
 
-    /// Whether new work may go there.
+    /// Whether new requests may be sent there.
     pub fn accepts_requests(&self, now: Timestamp) -> bool {
-        self.is_in_use() && !self.is_ejected(now) && !self.is_resting(now)
+        self.is_enabled() && !self.is_ejected(now) && !self.is_backing_off(now)
     }
 
-    /// When its rest is over, if that is all that keeps it from new work.
+    /// End of its backoff, if nothing else keeps it from accepting requests.
     pub fn available_from(&self, now: Timestamp) -> Option<Timestamp> {
-        let rests_alone = self.is_in_use() && !self.is_ejected(now) && self.is_resting(now);
-        rests_alone.then_some(self.rests_until)
+        let only_backing_off =
+            self.is_enabled() && !self.is_ejected(now) && self.is_backing_off(now);
+        only_backing_off.then_some(self.backoff_until)
     }
 
-    fn is_in_use(&self) -> bool {
+    fn is_enabled(&self) -> bool {
         let leaving = self.leaving_by_platform || self.row.state == BackEndState::Leaving;
         !leaving && self.row.weight > 0
     }
 
-    fn is_resting(&self, now: Timestamp) -> bool {
-        now < self.rests_until
+    fn is_backing_off(&self, now: Timestamp) -> bool {
+        now < self.backoff_until
     }
 
-    /// It has turned a request away and wants none for `rest`. Where wishes overlap, the later end counts.
-    pub fn on_backoff(&mut self, now: Timestamp, rest: Millis) {
-        self.rests_until = self.rests_until.max(now + rest);
+    /// Records that it refused a request and asked for a backoff of `duration`. If several overlap,
+    /// the latest end applies.
+    pub fn on_backoff(&mut self, now: Timestamp, duration: Millis) {
+        self.backoff_until = self.backoff_until.max(now + duration);
     }
 
-    /// Whether it is kept out of use after failures.
+    /// Whether it is ejected after failures.
     pub fn is_ejected(&self, now: Timestamp) -> bool {
         self.ejected_until.is_some_and(|until| now < until)
     }
 
-    /// Whether it may be tried with one request only, to see if it has recovered.
-    pub fn is_on_probation(&self, now: Timestamp) -> bool {
+    /// Whether its ejection time has passed, so that it may be probed with a single request.
+    pub fn is_probing(&self, now: Timestamp) -> bool {
         self.ejected_until.is_some_and(|until| now >= until)
     }
 
-    /// Requests it is believed to have: the newest report plus this router's dispatches since.
+    /// Estimated number of requests there: the newest report plus this router's dispatches since,
+    /// at least those in flight.
     pub fn estimated_load(&self) -> u32 {
         let reported = self.report.running + self.report.waiting;
         (reported + self.recent_dispatches.len() as u32).max(self.in_flight)
     }
 
-    /// Takes in a load report received at `now`. A report is also a sign of life, so it ends an
-    /// ejection whose time has passed.
+    /// Records a load report received at `now`. A report also shows that the back end is alive, so
+    /// it ends an ejection whose time has passed. Reports older than the newest one are ignored.
     pub fn on_report(&mut self, now: Timestamp, report: LoadReport) {
         let sampled_at = Timestamp(now.0.saturating_sub(report.age_ms));
         if sampled_at < self.reported_at {
@@ -109,47 +113,52 @@
         }
         self.report = report;
         self.reported_at = sampled_at;
-        while self.recent_dispatches.front().is_some_and(|sent| *sent < sampled_at) {
+        while self
+            .recent_dispatches
+            .front()
+            .is_some_and(|dispatched_at| *dispatched_at < sampled_at)
+        {
             self.recent_dispatches.pop_front();
         }
-        if self.is_on_probation(now) {
+        if self.is_probing(now) {
             self.ejected_until = None;
         }
     }
 
-    /// Takes in what the platform's list says.
+    /// Records whether the platform's list marks the back end as leaving.
     pub fn on_platform(&mut self, leaving: bool) {
         self.leaving_by_platform = leaving;
     }
 
-    /// Notes a request sent there.
+    /// Records a request sent there.
     pub fn on_dispatch(&mut self, now: Timestamp) {
         self.in_flight += 1;
         self.recent_dispatches.push_back(now);
     }
 
-    /// Notes the end of a request sent there.
+    /// Records the end of a request sent there.
     pub fn on_end(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.recent_dispatches.pop_back();
     }
 
-    /// Notes an answer.
+    /// Records a successful response; ends an ejection and resets the failure counts.
     pub fn on_success(&mut self) {
-        self.failures_in_row = 0;
-        self.ejections_in_row = 0;
+        self.consecutive_failures = 0;
+        self.consecutive_ejections = 0;
         self.ejected_until = None;
     }
 
-    /// Notes a failure; ejects the back end after several in a row.
+    /// Records a failure; ejects the back end after several consecutive failures, or after one
+    /// while probing.
     pub fn on_failure(&mut self, now: Timestamp, policy: &PolicyRow) {
-        self.failures_in_row += 1;
-        let on_probation = self.is_on_probation(now);
-        if on_probation || self.failures_in_row >= policy.eject_after_failures {
-            let doublings = self.ejections_in_row.min(MAX_EJECT_DOUBLINGS);
+        self.consecutive_failures += 1;
+        let was_probing = self.is_probing(now);
+        if was_probing || self.consecutive_failures >= policy.eject_after_failures {
+            let doublings = self.consecutive_ejections.min(MAX_EJECT_DOUBLINGS);
             self.ejected_until = Some(now + Millis(policy.eject_ms << doublings));
-            self.ejections_in_row += 1;
-            self.failures_in_row = 0;
+            self.consecutive_ejections += 1;
+            self.consecutive_failures = 0;
         }
     }
 }
--- a/crates/balance/src/balancer.rs
+++ b/crates/balance/src/balancer.rs
@@ -1,4 +1,4 @@
-//! The choice among the back ends of a service.
+//! Selection among the back ends of a service.
 
 use crate::back_end::BackEnd;
 use crate::prefix::BlockHash;
@@ -7,57 +7,58 @@
 use stackpost_types::*;
 use std::collections::BTreeMap;
 
-/// Cost of one request already at a back end of weight [`REFERENCE_WEIGHT`].
+/// Cost of each request already at a back end of weight [`REFERENCE_WEIGHT`].
 const LOAD_COST: u64 = 100;
-/// Cost of a prompt of which nothing is cached, relative to [`LOAD_COST`].
+/// Cost of a prompt with no cached prefix, relative to [`LOAD_COST`].
 const MISS_COST: u64 = 400;
-/// Cost of leaving the zone.
+/// Cost of a back end in another zone.
 const OTHER_ZONE_COST: u64 = 100_000;
-/// The weight at which one request costs [`LOAD_COST`].
+/// Weight at which one request costs [`LOAD_COST`].
 const REFERENCE_WEIGHT: u64 = 100;
 
-/// What a request needs.
+/// Parameters of one selection.
 #[derive(Clone, Debug)]
 pub struct Query<'a> {
     /// The service.
     pub service: &'a ServiceName,
     /// The router's own zone.
     pub zone: &'a ZoneName,
-    /// Hashes of the prompt's blocks; empty for plain requests.
+    /// Hashes of the prompt's blocks; empty for requests without a prompt.
     pub blocks: &'a [BlockHash],
-    /// Requests one router may have at one back end.
+    /// Maximum number of requests in flight from one router to one back end.
     pub concurrency: u32,
-    /// Back ends that were tried already.
+    /// Back ends already tried for the request.
     pub tried: &'a [BackEndName],
-    /// Whether the request may be used to see if a back end has recovered.
+    /// Whether the request may be used to probe a back end after its ejection.
     pub may_probe: bool,
 }
 
-/// One back end's part in a decision, for explanations.
+/// One back end's score in a decision, for the explanation of decisions.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Candidate {
     /// The back end.
     pub back_end: BackEndName,
-    /// Sum of the costs below; the lowest wins.
+    /// Total cost of load, missing prompt blocks and zone; the lowest wins.
     pub cost: u64,
-    /// Requests it is believed to have.
+    /// Estimated number of requests there.
     pub load: u32,
-    /// Leading blocks of the prompt that it is believed to hold.
+    /// Estimated number of leading blocks of the prompt in its cache.
     pub cached_blocks: usize,
-    /// Whether it stands in the router's zone.
+    /// Whether it is in the router's zone.
     pub same_zone: bool,
 }
 
 /// Outcome of a choice.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Choice {
-    /// The first candidate wins; all are listed, best first.
+    /// The candidates, best first; the first one is chosen.
     Chosen(Vec<Candidate>),
-    /// Every back end that takes work has as many requests as allowed.
+    /// Every back end that accepts requests has reached its limit of requests in flight.
     AllBusy,
-    /// Those that would take work have asked for rest, the first of them until then.
+    /// Every back end that could accept requests has asked for a backoff; the time is the earliest
+    /// end of these.
     AllBackingOff(Timestamp),
-    /// No back end takes work.
+    /// No back end accepts requests.
     NoneAvailable,
 }
 
@@ -69,7 +70,7 @@
 }
 
 impl Balancer {
-    /// Adds a back end or takes over its changed row; what is known of it is kept unless it moved.
+    /// Adds a back end or updates its row. Its state is kept unless its address has changed.
     pub fn set_back_end(&mut self, name: &BackEndName, row: &BackEndRow) {
         match self.back_ends.get_mut(name) {
             Some(known) if known.row.address == row.address => known.row = row.clone(),
@@ -77,21 +78,21 @@
                 self.back_ends.insert(name.clone(), BackEnd::new(row.clone()));
             }
         }
-        self.index();
+        self.rebuild_service_index();
     }
 
-    /// Forgets a back end.
+    /// Removes a back end.
     pub fn remove_back_end(&mut self, name: &BackEndName) {
         self.back_ends.remove(name);
-        self.index();
+        self.rebuild_service_index();
     }
 
-    /// One back end.
+    /// The back end called `name`.
     pub fn get(&self, name: &BackEndName) -> Option<&BackEnd> {
         self.back_ends.get(name)
     }
 
-    /// One back end, to be told news.
+    /// The back end called `name`, to record an event.
     pub fn get_mut(&mut self, name: &BackEndName) -> Option<&mut BackEnd> {
         self.back_ends.get_mut(name)
     }
@@ -101,40 +102,40 @@
         self.back_ends.iter()
     }
 
-    /// Scores the back ends of a service for one request.
+    /// Scores the back ends of a service for one request and orders them by cost.
     pub fn choose(&self, now: Timestamp, query: &Query<'_>) -> Choice {
         let names = self.by_service.get(query.service).map(Vec::as_slice).unwrap_or_default();
         let mut candidates = Vec::new();
-        let mut any_takes_work = false;
-        let mut soonest: Option<Timestamp> = None;
+        let mut any_accepts = false;
+        let mut earliest_backoff_end: Option<Timestamp> = None;
         for name in names {
             let Some(back_end) = self.back_ends.get(name) else {
                 continue;
             };
             if query.tried.contains(name) || !back_end.accepts_requests(now) {
-                let opens = back_end.available_from(now);
-                soonest = soonest.into_iter().chain(opens).min();
+                let backoff_end = back_end.available_from(now);
+                earliest_backoff_end = earliest_backoff_end.into_iter().chain(backoff_end).min();
                 continue;
             }
-            any_takes_work = true;
-            let allowed = match back_end.is_on_probation(now) {
+            any_accepts = true;
+            let max_in_flight = match back_end.is_probing(now) {
                 true if !query.may_probe => 0,
                 true => 1,
                 false => query.concurrency,
             };
-            if back_end.in_flight < allowed {
+            if back_end.in_flight < max_in_flight {
                 candidates.push(score(name, back_end, query));
             }
         }
         if candidates.is_empty() {
-            return match soonest {
-                _ if any_takes_work => Choice::AllBusy,
-                Some(soonest) => Choice::AllBackingOff(soonest),
+            return match earliest_backoff_end {
+                _ if any_accepts => Choice::AllBusy,
+                Some(earliest_backoff_end) => Choice::AllBackingOff(earliest_backoff_end),
                 None => Choice::NoneAvailable,
             };
         }
-        // Equal costs are broken by the prompt's first block, so that equal prompts meet even
-        // before any cache event has arrived.
+        // Ties are broken by the prompt's first block, so that equal prompts go to the same back
+        // end even before any cache event has been received.
         let subject = query.blocks.first().map(|block| block.0.to_string()).unwrap_or_default();
         candidates.sort_by_cached_key(|candidate| {
             let rank = rendezvous_rank(&subject, candidate.back_end.as_str());
@@ -143,7 +144,7 @@
         Choice::Chosen(candidates)
     }
 
-    fn index(&mut self) {
+    fn rebuild_service_index(&mut self) {
         self.by_service.clear();
         for (name, back_end) in &self.back_ends {
             self.by_service.entry(back_end.row.service.clone()).or_default().push(name.clone());
--- a/crates/balance/src/lib.rs
+++ b/crates/balance/src/lib.rs
@@ -1,8 +1,8 @@
-//! Which back end serves a request, and which request is served next. No I/O.
+//! Selection of back ends for requests and of the request to serve next. No I/O.
 //!
 //! [`Balancer`] scores the back ends of a service by load and prefix-cache affinity. [`FairQueue`]
-//! holds requests that wait for one, with a fair share per tenant. [`RetryBudget`] keeps retries
-//! from multiplying a failure.
+//! holds waiting requests, with a fair share per tenant. [`RetryBudget`] keeps retries from
+//! amplifying a failure.
 
 mod back_end;
 mod balancer;
--- a/crates/balance/src/prefix.rs
+++ b/crates/balance/src/prefix.rs
@@ -1,4 +1,4 @@
-//! What is known of an engine's prompt-prefix cache.
+//! A router's index of an engine's prompt-prefix cache.
 
 use serde::{Deserialize, Serialize};
 use stackpost_types::Digest;
@@ -6,10 +6,10 @@
 
 /// Bytes of prompt text covered by one block.
 pub const BLOCK_BYTES: usize = 128;
-/// Blocks remembered per engine; the oldest are forgotten first.
-const KEPT_BLOCKS: usize = 8_192;
+/// Maximum number of blocks kept per engine; the oldest are evicted first.
+const MAX_BLOCKS: usize = 8_192;
 
-/// Hash of one block and of all text before it.
+/// Hash of one block of a prompt and of all text before it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct BlockHash(pub u64);
@@ -40,65 +40,65 @@
     Cleared,
 }
 
-/// Whether an index could follow a batch of events.
+/// Outcome of applying a batch of events to an index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheUpdate {
-    /// It did.
+    /// The events were applied.
     Applied,
-    /// Events are missing; the whole cache must be read again.
+    /// Events are missing; the complete cache must be read again.
     Gap,
 }
 
-/// Blocks that an engine is believed to hold.
+/// Estimated set of blocks in an engine's cache.
 #[derive(Clone, Debug, Default)]
 pub struct CacheIndex {
     blocks: HashSet<BlockHash>,
-    order: VecDeque<BlockHash>,
-    /// Sequence number of the next event expected; `None` until the cache has been read whole.
-    next: Option<u64>,
+    insertion_order: VecDeque<BlockHash>,
+    /// Sequence number of the next event expected; `None` until the complete cache has been read.
+    next_sequence: Option<u64>,
 }
 
 impl CacheIndex {
-    /// Sequence number of the next event to ask for; `None` if the whole cache is to be read.
+    /// Sequence number of the next event to request; `None` if the complete cache must be read.
     pub fn next_sequence(&self) -> Option<u64> {
-        self.next
+        self.next_sequence
     }
 
-    /// Takes in events, the first of them numbered `first`. Events seen before are skipped. After
-    /// a gap the index is empty, so that it claims nothing, until it is replaced.
+    /// Applies events numbered from `first`. Events already applied are skipped. After a gap the
+    /// index stays empty, so that it reports no cached prefix, until it is replaced.
     pub fn apply_events(&mut self, first: u64, changes: &[CacheChange]) -> CacheUpdate {
-        let Some(next) = self.next else {
+        let Some(next_sequence) = self.next_sequence else {
             return CacheUpdate::Gap;
         };
-        if first > next {
+        if first > next_sequence {
             *self = Self::default();
             return CacheUpdate::Gap;
         }
-        let seen = (next - first) as usize;
-        for change in changes.iter().skip(seen) {
+        let already_applied = (next_sequence - first) as usize;
+        for change in changes.iter().skip(already_applied) {
             self.apply(change);
         }
-        self.next = Some(next.max(first + changes.len() as u64));
+        self.next_sequence = Some(next_sequence.max(first + changes.len() as u64));
         CacheUpdate::Applied
     }
 
-    /// Replaces the index by the whole cache as of event `next`.
-    pub fn replace(&mut self, next: u64, blocks: &[BlockHash]) {
-        *self = Self { next: Some(next), ..Self::default() };
+    /// Replaces the index by the complete cache before event `next_sequence`.
+    pub fn replace(&mut self, next_sequence: u64, blocks: &[BlockHash]) {
+        *self = Self { next_sequence: Some(next_sequence), ..Self::default() };
         for block in blocks {
             self.insert(*block);
         }
     }
 
-    /// Notes blocks that an engine will hold because a request was just sent to it, before its
-    /// own events say so.
+    /// Adds blocks that an engine will cache because a request was just sent to it, before its own
+    /// events confirm them.
     pub fn assume_cached(&mut self, blocks: &[BlockHash]) {
         for block in blocks {
             self.insert(*block);
         }
     }
 
-    /// Number of leading blocks of a prompt that are held.
+    /// Number of leading blocks of a prompt that are in the index.
     pub fn cached_prefix_len(&self, blocks: &[BlockHash]) -> usize {
         blocks.iter().take_while(|block| self.blocks.contains(block)).count()
     }
@@ -111,17 +111,17 @@
             }
             CacheChange::Cleared => {
                 self.blocks.clear();
-                self.order.clear();
+                self.insertion_order.clear();
             }
         }
     }
 
     fn insert(&mut self, block: BlockHash) {
         if self.blocks.insert(block) {
-            self.order.push_back(block);
+            self.insertion_order.push_back(block);
         }
-        while self.order.len() > KEPT_BLOCKS {
-            if let Some(oldest) = self.order.pop_front() {
+        while self.insertion_order.len() > MAX_BLOCKS {
+            if let Some(oldest) = self.insertion_order.pop_front() {
                 self.blocks.remove(&oldest);
             }
         }
--- a/crates/balance/src/queue.rs
+++ b/crates/balance/src/queue.rs
@@ -1,4 +1,4 @@
-//! A bounded queue with a fair share per tenant.
+//! Bounded queue with a fair share per tenant.
 
 use stackpost_types::TenantName;
 use std::collections::{BTreeMap, VecDeque};
@@ -6,48 +6,50 @@
 /// Outcome of adding to a queue.
 #[derive(Debug, PartialEq, Eq)]
 pub enum PushOutcome<T> {
-    /// It waits.
+    /// The item was queued.
     Queued,
-    /// The queue is full and the tenant has its share: the new item is not taken.
+    /// The queue is full and the new item was refused: its tenant already has its share, or no
+    /// other tenant has more than its share.
     Refused(T),
-    /// It waits; another tenant's newest item had to go, since that tenant had more than its share.
+    /// The item was queued, and the newest item of a tenant with more than its share was evicted.
     Evicted(T),
 }
 
 #[derive(Debug)]
-struct Lane<T> {
+struct TenantQueue<T> {
     weight: u32,
-    /// Items in order of descending priority, then of arrival.
+    /// Priorities and items, by descending priority, then in order of arrival.
     items: VecDeque<(i32, T)>,
-    /// Work taken so far, divided by weight; the lane with the least is served next.
+    /// Cost of the items taken so far, divided by the weight; the queue with the least is served
+    /// next.
     virtual_time: u64,
 }
 
-/// Items of several tenants. Taken in turn by weight (start-time fair queueing, Goyal et al.,
-/// 1996), so that one tenant's burst does not hold up the others.
+/// Queue of the items of several tenants, served by weight (start-time fair queueing, Goyal et al.,
+/// 1996), so that a burst of one tenant does not delay the others.
 #[derive(Debug)]
 pub struct FairQueue<T> {
-    lanes: BTreeMap<TenantName, Lane<T>>,
+    queues: BTreeMap<TenantName, TenantQueue<T>>,
     length: usize,
     virtual_time: u64,
 }
 
-/// Virtual time that one item costs a lane of weight one.
+/// Virtual time that one item costs a tenant of weight one.
 const ITEM_COST: u64 = 1_000_000;
 
 impl<T> Default for FairQueue<T> {
     fn default() -> Self {
-        Self { lanes: BTreeMap::new(), length: 0, virtual_time: 0 }
+        Self { queues: BTreeMap::new(), length: 0, virtual_time: 0 }
     }
 }
 
 impl<T> FairQueue<T> {
-    /// Items waiting.
+    /// Number of queued items.
     pub fn len(&self) -> usize {
         self.length
     }
 
-    /// Whether nothing waits.
+    /// Whether no item is queued.
     pub fn is_empty(&self) -> bool {
         self.length == 0
     }
@@ -63,22 +65,22 @@
     ) -> PushOutcome<T> {
         let mut evicted = None;
         if self.length >= limit {
-            match self.most_over_share(tenant, weight, limit) {
+            match self.tenant_most_over_share(tenant, weight, limit) {
                 Some(victim) => evicted = self.remove_newest(&victim),
                 None => return PushOutcome::Refused(item),
             }
         }
         let now = self.virtual_time;
-        let lane = self.lanes.entry(tenant.clone()).or_insert_with(|| Lane {
+        let queue = self.queues.entry(tenant.clone()).or_insert_with(|| TenantQueue {
             weight: weight.max(1),
             items: VecDeque::new(),
             virtual_time: now,
         });
-        if lane.items.is_empty() {
-            lane.virtual_time = lane.virtual_time.max(now);
+        if queue.items.is_empty() {
+            queue.virtual_time = queue.virtual_time.max(now);
         }
-        let position = lane.items.iter().position(|(held, _)| *held < priority);
-        lane.items.insert(position.unwrap_or(lane.items.len()), (priority, item));
+        let position = queue.items.iter().position(|(queued, _)| *queued < priority);
+        queue.items.insert(position.unwrap_or(queue.items.len()), (priority, item));
         self.length += 1;
         match evicted {
             Some(item) => PushOutcome::Evicted(item),
@@ -86,73 +88,77 @@
         }
     }
 
-    /// Takes the next item that `ready` accepts; lanes whose first item is not accepted wait.
-    pub fn pop_if(&mut self, mut ready: impl FnMut(&T) -> bool) -> Option<T> {
+    /// Removes and returns the next item for which `accepts` is true; a tenant whose first item is
+    /// not accepted keeps waiting.
+    pub fn pop_if(&mut self, mut accepts: impl FnMut(&T) -> bool) -> Option<T> {
         let mut order: Vec<(u64, TenantName)> = self
-            .lanes
+            .queues
             .iter()
-            .filter(|(_, lane)| !lane.items.is_empty())
-            .map(|(name, lane)| (lane.virtual_time, name.clone()))
+            .filter(|(_, queue)| !queue.items.is_empty())
+            .map(|(name, queue)| (queue.virtual_time, name.clone()))
             .collect();
         order.sort();
-        let (_, name) = order.into_iter().find(|(_, name)| ready(&self.lanes[name].items[0].1))?;
-        let lane = self.lanes.get_mut(&name)?;
-        let (_, item) = lane.items.pop_front()?;
-        self.virtual_time = self.virtual_time.max(lane.virtual_time);
-        lane.virtual_time += ITEM_COST / u64::from(lane.weight);
+        let (_, name) =
+            order.into_iter().find(|(_, name)| accepts(&self.queues[name].items[0].1))?;
+        let queue = self.queues.get_mut(&name)?;
+        let (_, item) = queue.items.pop_front()?;
+        self.virtual_time = self.virtual_time.max(queue.virtual_time);
+        queue.virtual_time += ITEM_COST / u64::from(queue.weight);
         self.length -= 1;
-        self.forget_empty_lanes();
+        self.remove_idle_queues();
         Some(item)
     }
 
-    /// Removes every item that `unwanted` accepts.
+    /// Removes and returns every item for which `unwanted` is true.
     pub fn remove_where(&mut self, mut unwanted: impl FnMut(&T) -> bool) -> Vec<T> {
         let mut removed = Vec::new();
-        for lane in self.lanes.values_mut() {
-            let (gone, kept) = std::mem::take(&mut lane.items)
+        for queue in self.queues.values_mut() {
+            let (dropped, kept) = std::mem::take(&mut queue.items)
                 .into_iter()
                 .partition::<VecDeque<_>, _>(|(_, item)| unwanted(item));
-            lane.items = kept;
-            removed.extend(gone.into_iter().map(|(_, item)| item));
+            queue.items = kept;
+            removed.extend(dropped.into_iter().map(|(_, item)| item));
         }
         self.length -= removed.len();
-        self.forget_empty_lanes();
+        self.remove_idle_queues();
         removed
     }
 
-    /// The tenant furthest above its share, if one is, and the newcomer is below its own.
-    fn most_over_share(
+    /// The tenant furthest above its share; `None` if no other tenant is above its share or
+    /// `newcomer` has reached its own.
+    fn tenant_most_over_share(
         &self,
         newcomer: &TenantName,
         weight: u32,
         limit: usize,
     ) -> Option<TenantName> {
-        let others = self.lanes.iter().filter(|(name, _)| *name != newcomer);
-        let total_weight: u64 =
-            others.map(|(_, lane)| u64::from(lane.weight)).sum::<u64>() + u64::from(weight.max(1));
+        let others = self.queues.iter().filter(|(name, _)| *name != newcomer);
+        let total_weight: u64 = others.map(|(_, queue)| u64::from(queue.weight)).sum::<u64>()
+            + u64::from(weight.max(1));
         let share = |weight: u32| limit as u64 * u64::from(weight.max(1)) / total_weight;
-        let held = self.lanes.get(newcomer).map_or(0, |lane| lane.items.len()) as u64;
-        if held >= share(weight) {
+        let queued = self.queues.get(newcomer).map_or(0, |queue| queue.items.len()) as u64;
+        if queued >= share(weight) {
             return None;
         }
-        self.lanes
+        self.queues
             .iter()
             .filter(|(name, _)| *name != newcomer)
-            .map(|(name, lane)| (lane.items.len() as u64, share(lane.weight), name))
+            .map(|(name, queue)| (queue.items.len() as u64, share(queue.weight), name))
             .filter(|(length, share, _)| length > share)
             .max_by_key(|(length, share, _)| length - share)
             .map(|(_, _, name)| name.clone())
     }
 
     fn remove_newest(&mut self, tenant: &TenantName) -> Option<T> {
-        let (_, item) = self.lanes.get_mut(tenant)?.items.pop_back()?;
+        let (_, item) = self.queues.get_mut(tenant)?.items.pop_back()?;
         self.length -= 1;
         Some(item)
     }
 
-    /// A lane that has nothing waiting and is not behind keeps no claim on the future.
-    fn forget_empty_lanes(&mut self) {
+    /// Removes empty queues whose virtual time is not ahead of the common one: a new queue would
+    /// start at the same virtual time.
+    fn remove_idle_queues(&mut self) {
         let now = self.virtual_time;
-        self.lanes.retain(|_, lane| !lane.items.is_empty() || lane.virtual_time > now);
+        self.queues.retain(|_, queue| !queue.items.is_empty() || queue.virtual_time > now);
     }
 }
--- a/crates/balance/src/retry.rs
+++ b/crates/balance/src/retry.rs
@@ -1,36 +1,36 @@
-//! A budget for retries.
+//! Retry budget.
 
-/// Cost of one retry in thousandths; a first attempt earns the policy's `retry_permille`.
+/// Cost of one retry in thousandths; each first attempt adds the policy's `retry_permille`.
 const RETRY_COST: u64 = 1_000;
-/// Retries that may be saved up.
-const MAX_SAVED_RETRIES: u64 = 20;
+/// Maximum number of retries that may accrue.
+const MAX_ACCRUED_RETRIES: u64 = 20;
 
-/// Lets retries be at most a fixed share of first attempts, so that a failing service is not
-/// given more work the worse it fails.
+/// Limits retries to a fixed share of first attempts, so that a failing service does not receive
+/// more requests the more it fails.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
-    saved: u64,
+    balance: u64,
 }
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        Self { saved: MAX_SAVED_RETRIES * RETRY_COST }
+        Self { balance: MAX_ACCRUED_RETRIES * RETRY_COST }
     }
 }
 
 impl RetryBudget {
-    /// Notes a first attempt.
+    /// Records a first attempt.
     pub fn deposit(&mut self, retry_permille: u32) {
-        let saved = self.saved + u64::from(retry_permille);
-        self.saved = saved.min(MAX_SAVED_RETRIES * RETRY_COST);
+        let balance = self.balance + u64::from(retry_permille);
+        self.balance = balance.min(MAX_ACCRUED_RETRIES * RETRY_COST);
     }
 
-    /// Whether a retry may be made now; counts it if so.
+    /// Whether a retry may be made now; deducts it from the budget if so.
     pub fn try_withdraw(&mut self) -> bool {
-        if self.saved < RETRY_COST {
+        if self.balance < RETRY_COST {
             return false;
         }
-        self.saved -= RETRY_COST;
+        self.balance -= RETRY_COST;
         true
     }
 }
--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -1,10 +1,11 @@
-//! The clock on which leases, rights and ages rest.
+//! The clock used for leases, rights and ages.
 //!
-//! A machine may be suspended for seconds. Its monotonic clock, which `std::time::Instant` and timers use,
-//! stands still meanwhile, while everyone else's goes on: a leader that wakes would hold its lease for
-//! valid, a router would take its last contact with the leader for a moment ago. [`BootInstant`] reads
-//! `CLOCK_BOOTTIME`, which counts that time and never jumps. Whatever another process rests on is measured
-//! by it; the other clock remains for timers, which may be late, and for figures.
+//! A machine may be suspended for seconds. Its monotonic clock, which `std::time::Instant` and
+//! timers use, stops meanwhile, while the clocks of other machines keep running: after resuming, a
+//! leader would still consider its lease valid, and a router would consider its last contact with
+//! the leader recent. [`BootInstant`] reads `CLOCK_BOOTTIME`, which counts the time in suspension
+//! and never jumps. It measures every time that another process relies on; the monotonic clock is
+//! used only for timers, which may be late, and for measurements.
 
 use rustix::time::{ClockId, clock_gettime};
 use std::ops::Add;
@@ -12,30 +13,30 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// A moment in the life of this machine, by a clock that goes on while it is suspended. Moments of two
-/// lives of a machine can't be compared.
+/// A reading of a clock that starts with the boot of the machine and counts time in suspension.
+/// Readings from different boots can't be compared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct BootInstant(Duration);
 
 impl BootInstant {
-    /// This moment.
+    /// The current time.
     pub fn now() -> Self {
         let reading = clock_gettime(ClockId::Boottime);
-        // The kernel never gives a negative reading, and the nanoseconds are below a second.
+        // The kernel never returns a negative reading, and the nanoseconds are below one second.
         Self(Duration::new(reading.tv_sec as u64, reading.tv_nsec as u32))
     }
 
-    /// Time since the machine started.
+    /// Time since the machine booted.
     pub fn since_boot(self) -> Duration {
         self.0
     }
 
-    /// Time from `earlier` to this moment; zero if it is later.
+    /// Time from `earlier` to `self`; zero if `earlier` is later.
     pub fn since(self, earlier: Self) -> Duration {
         self.0.saturating_sub(earlier.0)
     }
 
-    /// Time since this moment.
+    /// Time from `self` to now.
     pub fn elapsed(self) -> Duration {
         Self::now().since(self)
     }
@@ -49,17 +50,18 @@
     }
 }
 
-/// Where the parts of one process read the time: the machine's clock, which tests may move on. Clones read the same one.
+/// The clock that all parts of one process read: the machine's clock plus an offset that tests can
+/// increase. Clones share the offset.
 #[derive(Clone, Debug, Default)]
 pub struct MachineClock {
-    /// Time that this clock is ahead of the machine's, in milliseconds.
-    ahead: Arc<AtomicU64>,
+    /// Offset from the machine's clock, in milliseconds.
+    offset_ms: Arc<AtomicU64>,
 }
 
 impl MachineClock {
-    /// This moment.
+    /// The current time.
     pub fn now(&self) -> BootInstant {
-        BootInstant::now() + Duration::from_millis(self.ahead.load(Ordering::Relaxed))
+        BootInstant::now() + Duration::from_millis(self.offset_ms.load(Ordering::Relaxed))
     }
 
     /// Time since `earlier`.
@@ -67,8 +69,9 @@
         self.now().since(earlier)
     }
 
-    /// Moves the clock on as a suspension of the machine does: timers and sockets have seen nothing of the time.
+    /// Advances the clock as a suspension of the machine would: timers and sockets do not notice
+    /// the time.
     pub fn simulate_suspend(&self, time: Duration) {
-        self.ahead.fetch_add(time.as_millis() as u64, Ordering::Relaxed);
+        self.offset_ms.fetch_add(time.as_millis() as u64, Ordering::Relaxed);
     }
 }
--- a/crates/clock/tests/boot_instant.rs
+++ b/crates/clock/tests/boot_instant.rs
@@ -1,4 +1,4 @@
-//! The clock is the one that counts time in suspension.
+//! `BootInstant` reads the clock that counts time in suspension.
 
 use rustix::time::{ClockId, clock_gettime};
 use stackpost_clock::BootInstant;
@@ -9,10 +9,10 @@
     Duration::new(reading.tv_sec as u64, reading.tv_nsec as u32)
 }
 
-/// Holds however long the machine has been suspended in its life: a reading lies between two of the
-/// kernel's clock.
+/// A reading is between two readings of the kernel's clock, however long the machine has been
+/// suspended since boot.
 #[test]
-fn it_reads_the_clock_that_goes_on_in_suspension() {
+fn now_reads_the_clock_that_counts_suspension() {
     let before = reading(ClockId::Boottime);
     let now = BootInstant::now().since_boot();
     let after = reading(ClockId::Boottime);
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn time_never_runs_backwards() {
+fn time_never_goes_backwards() {
     let (first, second) = (BootInstant::now(), BootInstant::now());
     assert!(first <= second);
     assert_eq!(first.since(first + Duration::from_secs(1)), Duration::ZERO);
--- a/crates/types/src/error.rs
+++ b/crates/types/src/error.rs
@@ -1,9 +1,9 @@
-//! The error context shared by all processes: the step and the peer.
+//! Error context shared by all processes: the step and the peer.
 
 use std::fmt;
 use thiserror::Error;
 
-/// What a process was doing when an error arose.
+/// The operation during which an error occurred.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
     /// Reading and checking the settings file.
@@ -14,11 +14,11 @@
     Connect,
     /// Sending a request to a peer.
     Send,
-    /// Reading a peer's answer.
+    /// Reading a peer's response.
     Receive,
     /// Reading or writing the data folder.
     Storage,
-    /// Understanding what a peer sent.
+    /// Decoding what a peer sent.
     Decode,
 }
 
@@ -37,20 +37,20 @@
     }
 }
 
-/// An error with the step and the peer at which it arose.
+/// An error with the step and the peer at which it occurred.
 #[derive(Debug, Error)]
 #[error("{step} with {peer}: {reason}")]
 pub struct PeerError {
-    /// What was being done.
+    /// The operation that failed.
     pub step: Step,
     /// The other side: an address, a file or a machine name.
     pub peer: String,
-    /// What went wrong, for a person.
+    /// Human-readable cause.
     pub reason: String,
 }
 
 impl PeerError {
-    /// Builds an error from any displayable cause.
+    /// Creates an error from any displayable cause.
     pub fn new(step: Step, peer: impl fmt::Display, reason: impl fmt::Display) -> Self {
         Self { step, peer: peer.to_string(), reason: reason.to_string() }
     }
--- a/crates/types/src/hash.rs
+++ b/crates/types/src/hash.rs
@@ -1,4 +1,4 @@
-//! Digests of secrets and contents, and rendezvous ranking.
+//! Digests of secrets and contents, and rendezvous hashing.
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest as _, Sha256};
@@ -10,7 +10,8 @@
 pub struct Digest(pub [u8; 16]);
 
 impl Digest {
-    /// Digest of `parts`, each preceded by its length so that no two splits collide.
+    /// Digest of `parts`. Each is preceded by its length, so that different splits of the same
+    /// bytes give different digests.
     pub fn of(parts: &[&[u8]]) -> Self {
         let mut hasher = Sha256::new();
         for part in parts {
@@ -60,8 +61,8 @@
 }
 
 /// Rank of `candidate` for `subject` by highest-random-weight hashing (Thaler and Ravishankar,
-/// 1998): every node that knows the same candidates picks the same winner, and a candidate that
-/// leaves moves only its own subjects.
+/// 1998): every node that knows the same candidates selects the same winner, and when a candidate
+/// leaves, only its own subjects move.
 pub fn rendezvous_rank(subject: &str, candidate: &str) -> u64 {
     Digest::of(&[subject.as_bytes(), candidate.as_bytes()]).to_u64()
 }
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,7 +1,7 @@
-//! Names, quantities, time and outcomes shared by every stackpost crate.
+//! Names, quantities, time, digests and errors shared by every stackpost crate.
 //!
-//! Nothing here does I/O or keeps state. Each name is its own type, so that a zone can't be passed
-//! where a machine is meant.
+//! Nothing here does I/O or keeps state. Each kind of name is its own type, so that a zone name
+//! can't be passed where a machine name is expected.
 
 mod error;
 mod hash;
--- a/crates/types/src/names.rs
+++ b/crates/types/src/names.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// Longest name, in bytes, that the table accepts.
+/// Maximum length of a name in the table, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
 
 macro_rules! name_type {
@@ -15,7 +15,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Wraps a name without checking it.
+            /// Wraps a name without validating it.
             pub fn new(text: impl AsRef<str>) -> Self {
                 Self(Arc::from(text.as_ref()))
             }
@@ -41,7 +41,7 @@
 }
 
 name_type!(
-    /// A failure domain with its own entry machines and back ends.
+    /// A failure domain with its own routers and back ends.
     ZoneName
 );
 name_type!(
@@ -49,7 +49,7 @@
     MachineName
 );
 name_type!(
-    /// A customer that owns keys and draws on budgets.
+    /// A customer that owns API keys and draws on budgets.
     TenantName
 );
 name_type!(
@@ -65,7 +65,7 @@
     BackEndName
 );
 name_type!(
-    /// A model as callers name it.
+    /// The name of a model, as used by callers.
     ModelName
 );
 name_type!(
@@ -77,29 +77,30 @@
     OperatorName
 );
 
-/// Stands between an engine's id and its start; no id holds it.
-const LIFE_MARK: char = '@';
+/// Separates an engine's id from its start time. No id contains it.
+const INCARNATION_SEPARATOR: char = '@';
 
 impl BackEndName {
-    /// Names one life of an engine that may start again under its id. `started_at_ms` is the Unix millisecond of its
-    /// start; without it the id itself names the only life.
+    /// Names one incarnation of an engine that may restart under the same id. `started_at_ms` is
+    /// its start time in Unix milliseconds; without it the id alone names the engine's only
+    /// incarnation.
     pub fn of_incarnation(id: &str, started_at_ms: Option<u64>) -> Self {
         match started_at_ms {
-            Some(started_at_ms) => Self::new(format!("{id}{LIFE_MARK}{started_at_ms}")),
+            Some(started_at_ms) => Self::new(format!("{id}{INCARNATION_SEPARATOR}{started_at_ms}")),
             None => Self::new(id),
         }
     }
 
-    /// The engine's id, the same in all its lives.
+    /// The engine's id, which is the same for all its incarnations.
     pub fn id(&self) -> &str {
-        self.as_str().split_once(LIFE_MARK).map_or(self.as_str(), |(id, _)| id)
+        self.as_str().split_once(INCARNATION_SEPARATOR).map_or(self.as_str(), |(id, _)| id)
     }
 
-    /// When this life began, in Unix milliseconds; zero if the engine does not say.
+    /// Start time of this incarnation in Unix milliseconds; zero if the engine does not state it.
     pub fn started_at_ms(&self) -> u64 {
         let started_at_ms = self
             .as_str()
-            .split_once(LIFE_MARK)
+            .split_once(INCARNATION_SEPARATOR)
             .and_then(|(_, started_at_ms)| started_at_ms.parse().ok());
         started_at_ms.unwrap_or(0)
     }
@@ -111,17 +112,17 @@
     !text.is_empty() && text.len() <= MAX_NAME_BYTES && text.bytes().all(allowed)
 }
 
-/// Distinguishes the lives of one process: drawn at random at every start.
+/// Identifies one run of a process: chosen at random at every start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Incarnation(pub u64);
 
-/// One life of one router process.
+/// One incarnation of a router process.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct NodeId {
     /// The machine the process runs on.
     pub machine: MachineName,
-    /// Which of its lives.
+    /// The incarnation of the process.
     pub incarnation: Incarnation,
 }
 
@@ -131,27 +132,28 @@
     }
 }
 
-/// How an account survives the loss of its owner.
+/// How an account is protected against the loss of its owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum AccountKind {
-    /// Every change stands on a backup before it takes effect; the backup can adopt the account.
+    /// Every change is replicated to a backup before it takes effect; the backup can take over the
+    /// account.
     Mirrored,
-    /// Kept by its owner alone, for a machine that has lost every backup. Never adopted: whatever
+    /// Held by its owner only, for a machine that has lost every backup. Never taken over: whatever
     /// it holds counts as spent until the owner itself reports.
     Solo,
 }
 
-/// A holder of spending rights. Named after the router life that opened it.
+/// Id of an account that holds spending rights, named after the router incarnation that opened it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AccountId {
-    /// The router life that opened the account.
+    /// The router incarnation that opened the account.
     pub opener: NodeId,
     /// How the account is protected.
     pub kind: AccountKind,
 }
 
 impl AccountId {
-    /// The mirrored account that `node` opens at its start.
+    /// The mirrored account that `node` opens when it starts.
     pub fn mirrored(node: &NodeId) -> Self {
         Self { opener: node.clone(), kind: AccountKind::Mirrored }
     }
@@ -171,7 +173,8 @@
     }
 }
 
-/// Counts the changes of an account's view; a message with an older epoch is refused.
+/// Number of an account's view, incremented with each change of the view. Messages with an older
+/// epoch are refused.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -185,7 +188,7 @@
     }
 }
 
-/// Index of a committed entry of the replicated log; also the version of what it wrote.
+/// Index of a committed entry of the replicated log; also the version of the data it wrote.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -198,7 +201,7 @@
     }
 }
 
-/// Names one request for its whole life, across routers.
+/// Identifies one request across all routers and attempts.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct RequestId(pub u128);
@@ -216,7 +219,7 @@
 }
 
 impl RequestId {
-    /// Reads the 32 hexadecimal digits that `Display` writes.
+    /// Parses the 32 hexadecimal digits that `Display` writes.
     pub fn parse(text: &str) -> Option<Self> {
         u128::from_str_radix(text, 16).ok().map(Self)
     }
--- a/crates/types/src/quantities.rs
+++ b/crates/types/src/quantities.rs
@@ -5,7 +5,7 @@
 use std::iter::Sum;
 use std::ops::{Add, AddAssign, Sub};
 
-/// A number of tokens. Arithmetic saturates: an amount never wraps.
+/// A number of tokens. Arithmetic saturates instead of wrapping.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -16,7 +16,7 @@
     /// No tokens.
     pub const ZERO: Self = Self(0);
 
-    /// Whether this is no tokens at all.
+    /// Whether the amount is zero.
     pub fn is_zero(self) -> bool {
         self.0 == 0
     }
@@ -63,7 +63,7 @@
     }
 }
 
-/// A span of time in milliseconds.
+/// A duration in milliseconds.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -71,11 +71,12 @@
 pub struct Millis(pub u64);
 
 impl Millis {
-    /// Longest rest that is believed, a day: longer ones are taken for slips, since the server would be lost.
+    /// Longest retry-after time that is accepted: one day. A longer one is treated as a mistake,
+    /// since it would take the server out of use.
     pub const MAX_RETRY_AFTER: Self = Self(86_400_000);
 
-    /// A rest that a server asks for, in seconds with fractions, as text. A date, a negative number or a time longer
-    /// than [`Self::MAX_RETRY_AFTER`] is none.
+    /// Parses a retry-after time in seconds, with fractions, and rounds it up. `None` for a date, a
+    /// negative number or a time longer than [`Self::MAX_RETRY_AFTER`].
     pub fn parse_retry_after(text: &str) -> Option<Self> {
         let seconds: f64 = text.trim().parse().ok()?;
         let longest = Self::MAX_RETRY_AFTER.0 as f64 / 1_000.0;
@@ -83,7 +84,7 @@
     }
 }
 
-/// A point on one process's monotonic clock, in milliseconds. Never compared across processes.
+/// A reading of one process's monotonic clock, in milliseconds. Never compared across processes.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -91,8 +92,8 @@
 pub struct Timestamp(pub u64);
 
 impl Timestamp {
-    /// What a process's clock shows at its start. Far from zero, which stands for "never", since ages that other
-    /// processes tell reach back to before the start.
+    /// Reading of a process's clock at its start. It is far from zero, which stands for "never",
+    /// since ages reported by other processes may reach back to before the start.
     pub const PROCESS_START: Self = Self(86_400_000);
 
     /// Time passed since `earlier`; zero if `earlier` is later.
@@ -108,7 +109,8 @@
     }
 }
 
-/// Milliseconds since 1970-01-01T00:00:00Z, for people and audit records; decides nothing.
+/// Milliseconds since 1970-01-01T00:00:00Z, for display and audit records; never used for
+/// decisions.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
--- a/crates/types/src/request_rate.rs
+++ b/crates/types/src/request_rate.rs
@@ -1,4 +1,4 @@
-//! How many requests a second somebody takes.
+//! Request rates, as stated by engines.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -6,31 +6,32 @@
 use std::str::FromStr;
 use thiserror::Error;
 
-/// A number of requests a second, kept as whole requests in a thousand seconds and rounded down, so that never more
-/// is read out of a rate than was stated.
+/// A number of requests per second, stored as requests per thousand seconds and rounded down, so
+/// that a parsed rate never exceeds the stated one.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct RequestRate(u32);
 
-/// A text that states no rate.
+/// A text that is not a valid rate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("no number of requests a second up to {}", RequestRate::MAX)]
+#[error("not a decimal number of requests per second up to {}", RequestRate::MAX)]
 pub struct ParseRateError;
 
 impl RequestRate {
-    /// No request at all.
+    /// No requests.
     pub const ZERO: Self = Self(0);
-    /// A million a second. Nobody serves as many, so a larger number is taken for a slip.
+    /// One million requests per second. No server handles more, so a larger number is treated as a
+    /// mistake.
     pub const MAX: Self = Self(1_000_000_000);
 
-    /// A rate of so many requests in a thousand seconds, [`Self::MAX`] at most.
+    /// A rate in requests per thousand seconds, limited to [`Self::MAX`].
     pub fn from_milli_rps(requests: u32) -> Self {
         Self(requests).min(Self::MAX)
     }
 
-    /// Requests in a thousand seconds.
+    /// The rate in requests per thousand seconds.
     pub fn milli_rps(self) -> u64 {
         u64::from(self.0)
     }
@@ -52,20 +53,21 @@
 impl FromStr for RequestRate {
     type Err = ParseRateError;
 
-    /// Reads digits with at most one point among them: no sign, no exponent, no comma.
+    /// Parses decimal digits with at most one point: no sign, exponent or comma.
     fn from_str(text: &str) -> Result<Self, ParseRateError> {
         let text = text.trim();
-        let is_plain = text.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
-        let a_second: f64 = text.parse().map_err(|_| ParseRateError)?;
+        let is_decimal = text.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
+        let per_second: f64 = text.parse().map_err(|_| ParseRateError)?;
         let largest = f64::from(Self::MAX.0) / 1_000.0;
-        if !is_plain || a_second > largest {
+        if !is_decimal || per_second > largest {
             return Err(ParseRateError);
         }
-        // The product may fall a little short of a whole number that the text states.
-        let milli_rps = (a_second * 1_000.0 + ROUNDING_SLACK).floor();
+        // Rounding errors may leave the product slightly below the whole number that the text
+        // states.
+        let milli_rps = (per_second * 1_000.0 + ROUNDING_TOLERANCE).floor();
         Ok(Self(milli_rps as u32))
     }
 }
 
-/// More than the error of a product of floating-point numbers, and far less than one.
-const ROUNDING_SLACK: f64 = 1e-6;
+/// Larger than the rounding error of the floating-point product, and much smaller than one.
+const ROUNDING_TOLERANCE: f64 = 1e-6;
