--- a/crates/ledger/src/owner.rs
+++ b/crates/ledger/src/owner.rs
@@ -35,9 +35,9 @@
     acked: u64,
     sent: u64,
     sent_at: Timestamp,
-    /// When the oldest unacknowledged change was sent or the last acknowledgement was received.
-    /// Sending newer changes does not update it, so that a lost change is detected under steady
-    /// traffic.
+    /// When the oldest unacknowledged change was sent, or when a further change was last
+    /// acknowledged. Sending newer changes does not update it, so that a lost change is detected
+    /// under steady traffic.
     progress_at: Timestamp,
     last_ack_at: Timestamp,
 }
