--- a/crates/coordinator/src/control_metrics.rs
+++ b/crates/coordinator/src/control_metrics.rs
@@ -1,15 +1,16 @@
-//! Figures of a control process, by OpenTelemetry under the usual Prometheus names. Label sets are
-//! bounded: states, calls and replies are enumerations, nothing comes from a caller.
+//! OpenTelemetry metrics of a control process under the usual Prometheus names. Label sets are
+//! bounded: states, calls and replies are enumerations, and no label value comes from a caller.
 
 use crate::replica_api::{PutReply, ReadReply};
 use stackpost_gateway_core::{EngineState, MergeOutcome};
 use stackpost_telemetry::{Counter, Gauge, Histogram, KeyValue, Meter};
 use std::time::Duration;
 
-/// Upper bounds of the buckets for rounds of the replica, in seconds: from memory alone to a slow disk.
+/// Upper bounds of the histogram buckets for rounds of the replica, in seconds: from rounds without
+/// a disk write to rounds on a slow disk.
 const ROUND_BUCKETS: [f64; 9] = [0.0002, 0.001, 0.003, 0.006, 0.012, 0.03, 0.1, 0.5, 2.0];
 
-/// What a control process believes at one moment.
+/// Gauge values of a control process at one moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct ControlGauges {
     pub leads: bool,
@@ -45,7 +46,7 @@
 }
 
 impl ControlMetrics {
-    /// Makes the instruments.
+    /// Creates the instruments on `meter`.
     pub fn new(meter: &Meter) -> Self {
         let counter = |name: &'static str, help: &'static str| {
             meter.u64_counter(name).with_description(help).build()
@@ -109,19 +110,19 @@
         self.reads.add(1, &[KeyValue::new("reply", reply)]);
     }
 
-    /// An announcement of an engine was in order.
+    /// Counts a valid announcement of an engine.
     pub(crate) fn on_announcement(&self, state: EngineState, merge: MergeOutcome) {
         let labels =
             [KeyValue::new("state", state.as_str()), KeyValue::new("change", merge.as_str())];
         self.announcements.add(1, &labels);
     }
 
-    /// A call of an engine was not in order.
+    /// Counts an invalid call of an engine.
     pub fn on_announcement_refused(&self) {
         self.announcements_refused.add(1, &[]);
     }
 
-    /// An engine said something new of its end.
+    /// Counts a new departure notice of an engine.
     pub(crate) fn on_departure(&self, state: EngineState, is_acknowledged: bool) {
         let reply = if is_acknowledged { "acknowledged" } else { "withheld" };
         let labels = [KeyValue::new("state", state.as_str()), KeyValue::new("reply", reply)];
@@ -137,7 +138,7 @@
         self.round_seconds.record(took.as_secs_f64(), &[]);
     }
 
-    /// What the process believes, now and then.
+    /// Records the gauges; called at regular intervals.
     pub(crate) fn record_gauges(&self, gauges: &ControlGauges) {
         self.leads.record(u64::from(gauges.leads), &[]);
         self.term.record(gauges.term, &[]);
--- a/crates/coordinator/src/control_node.rs
+++ b/crates/coordinator/src/control_node.rs
@@ -1,4 +1,5 @@
-//! What a control process does with its peers, the routers and the engines.
+//! The control process: exchanges messages with its peers and the routers, and passes events to the
+//! replica.
 
 use crate::control_metrics::{ControlGauges, ControlMetrics};
 use crate::control_state::ControlState;
@@ -21,19 +22,19 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::{MissedTickBehavior, interval, timeout};
 
-/// Time between two statuses.
+/// Time between two status messages.
 const STATUS_INTERVAL: Duration = Duration::from_millis(200);
-/// Time between two looks for the figures, and between two words on the quarantine.
-const LOOK_INTERVAL: Duration = Duration::from_secs(2);
-/// Longest wait for the replica's answer.
-const REPLY_LIMIT: Duration = Duration::from_millis(1_500);
+/// Time between two recordings of the gauges and between two broadcasts of the quarantine.
+const GAUGE_INTERVAL: Duration = Duration::from_secs(2);
+/// Longest wait for the replica's reply.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// How a control process is run.
+/// Settings of a control process.
 #[derive(Clone, Debug)]
 pub struct ControlSettings {
-    /// Where it accepts connections of the fleet.
+    /// Address at which it accepts connections of the fleet.
     pub mesh_address: SocketAddr,
-    /// Where other control processes may be found.
+    /// Addresses at which other control processes may listen.
     pub seeds: Vec<SocketAddr>,
 }
 
@@ -46,7 +47,7 @@
     started: BootInstant,
     pub(crate) state: Rc<RefCell<ControlState>>,
     pub(crate) metrics: ControlMetrics,
-    /// Revision of the departures that are known to be written down.
+    /// Revision of the departures that are known to be committed.
     pub(crate) committed_departures_revision: watch::Sender<u64>,
 }
 
@@ -91,33 +92,33 @@
         Ok(node)
     }
 
-    /// Looks for control processes at further addresses.
+    /// Dials control processes at further addresses.
     pub fn add_seeds(&self, seeds: &[SocketAddr]) {
         for seed in seeds {
             self.add_control_peer(*seed);
         }
     }
 
-    /// Sends a configuration to the replicas.
+    /// Proposes a configuration to the replica and waits for its reply.
     pub async fn put_document(&self, bytes: Arc<[u8]>) -> PutReply {
         let (sender, reply) = oneshot::channel();
         let token = self.new_token();
         self.state.borrow_mut().puts.insert(token, sender);
         self.replica.send(ReplicaEvent::Put { token, bytes });
-        let reply = timeout(REPLY_LIMIT, reply).await;
+        let reply = timeout(REPLY_TIMEOUT, reply).await;
         self.state.borrow_mut().puts.remove(&token);
         let reply = reply.ok().and_then(Result::ok).unwrap_or(PutReply::Unconfirmed);
         self.metrics.on_put(&reply);
         reply
     }
 
-    /// Reads the newest configuration.
+    /// Reads the latest configuration.
     pub async fn read_document(&self) -> ReadReply {
         let (sender, reply) = oneshot::channel();
         let token = self.new_token();
         self.state.borrow_mut().reads.insert(token, sender);
         self.replica.send(ReplicaEvent::Read { token });
-        let reply = timeout(REPLY_LIMIT, reply).await;
+        let reply = timeout(REPLY_TIMEOUT, reply).await;
         self.state.borrow_mut().reads.remove(&token);
         let reply = reply.ok().and_then(Result::ok).unwrap_or(ReadReply::Unconfirmed);
         self.metrics.on_read(&reply);
@@ -153,18 +154,18 @@
         mut events: mpsc::UnboundedReceiver<LinkEvent<FleetMessage>>,
         mut effects: mpsc::UnboundedReceiver<ReplicaEffect>,
     ) {
-        let mut ticks = interval(STATUS_INTERVAL);
-        ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut looks = interval(LOOK_INTERVAL);
-        looks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut status_ticks = interval(STATUS_INTERVAL);
+        status_ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut gauge_ticks = interval(GAUGE_INTERVAL);
+        gauge_ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 Some(event) = events.recv() => self.on_link_event(event),
                 Some(effect) = effects.recv() => self.on_effect(effect),
-                _ = ticks.tick() => self.on_tick(),
-                _ = looks.tick() => {
+                _ = status_ticks.tick() => self.on_tick(),
+                _ = gauge_ticks.tick() => {
                     self.metrics.record_gauges(&self.gauges());
-                    // Again and again: a message is lost with a queue that is full.
+                    // Repeated because a message is dropped when a connection's queue is full.
                     self.broadcast_quarantine();
                 }
             }
@@ -191,7 +192,7 @@
             self.mesh.send(link, &FleetMessage::Engines(notices));
         } else {
             self.send_updates_to_router(link, false);
-            // Before the status: a router that has heard a leader lets callers in.
+            // Sent before the status: a router that has received a leader's status admits requests.
             let notice = self.replica.view().quarantine.notice();
             self.mesh.send(link, &FleetMessage::Quarantined(notice));
         }
@@ -213,9 +214,9 @@
                 status.control_peers.into_iter().for_each(|peer| self.add_control_peer(peer));
             }
             FleetMessage::Engines(notices) => self.on_engines(notices),
-            FleetMessage::Departures(news) => self.on_departures(&news),
-            FleetMessage::DepartureNotices(words) => {
-                self.replica.send(ReplicaEvent::DepartureNotices(words));
+            FleetMessage::Departures(delta) => self.on_departures(&delta),
+            FleetMessage::DepartureNotices(records) => {
+                self.replica.send(ReplicaEvent::DepartureNotices(records));
             }
             FleetMessage::RouterStatus(status) => self.on_router_status(link, peer, status),
             FleetMessage::CrashReport(report) => self.on_crash_report(report),
@@ -258,7 +259,7 @@
             }
             ReplicaEffect::PutReply(token, reply) => {
                 if let Some(sender) = self.state.borrow_mut().puts.remove(&token) {
-                    // Whoever asked may have gone.
+                    // The caller may have stopped waiting.
                     let _ = sender.send(reply);
                 }
             }
@@ -284,7 +285,7 @@
             ReplicaEffect::QuarantineChanged => self.broadcast_quarantine(),
             ReplicaEffect::DeparturesChanged => self.sync_departures(),
             ReplicaEffect::RoleChanged(leads) => {
-                log::info!(leads = leads; "role");
+                log::info!(leads = leads; "role changed");
                 self.broadcast_quarantine();
                 self.broadcast_departures();
                 self.on_tick();
@@ -325,7 +326,7 @@
         }
     }
 
-    /// Tells all routers which requests are let in no more, if this replica leads.
+    /// Sends the quarantined requests to all routers if this replica leads.
     fn broadcast_quarantine(&self) {
         let view = self.replica.view();
         if view.leads() {
@@ -337,7 +338,7 @@
 
     fn on_tick(&self) {
         self.broadcast_router_list();
-        // Told again and again: a replica that had to open its data folder anew knows of nobody.
+        // Repeated because a replica that had to reopen its data folder has lost its list of peers.
         self.update_control_peers();
         self.sync_departures();
         self.forward_uncommitted();
--- a/crates/coordinator/src/control_state.rs
+++ b/crates/coordinator/src/control_state.rs
@@ -1,4 +1,4 @@
-//! What a control process knows of engines, connections and configurations.
+//! State of a control process: engines, connections and configurations.
 
 use crate::departures::UncommittedDepartures;
 use crate::document_delta::DocumentDelta;
@@ -14,25 +14,25 @@
 use std::net::SocketAddr;
 use tokio::sync::oneshot;
 
-/// Configurations kept as bases for differences.
+/// Configurations kept as bases for deltas.
 const RECENT_DOCUMENTS: usize = 6;
 
-/// What a control process knows.
+/// The state of a control process.
 pub(crate) struct ControlState {
     pub directory: EngineDirectory,
     pub silent: SilentEngineList,
-    /// Departures that are written down, by the own replica or by the leader's word.
+    /// Committed departures, as applied by the own replica or received from the leader.
     pub departures: KnownDepartures,
     pub uncommitted: UncommittedDepartures,
-    /// Engines announced since the last status.
+    /// Engines that have repeated their announcement since the last status.
     pub refreshed: BTreeSet<BackEndName>,
     pub links: Links,
     pub control_peers: BTreeSet<SocketAddr>,
-    /// The newest configurations, by version, as bases for differences.
+    /// The latest configurations, by version, as bases for deltas.
     pub recent_documents: BTreeMap<u64, Document>,
-    /// The newest configuration as differences to earlier ones.
+    /// Deltas from earlier configurations to the latest one, by base version.
     pub deltas: BTreeMap<u64, DocumentDelta>,
-    /// The newest configuration that was sent whole.
+    /// The latest configuration that was sent in full, compressed.
     pub packed: Option<PackedDocument>,
     pub puts: HashMap<u64, oneshot::Sender<PutReply>>,
     pub reads: HashMap<u64, oneshot::Sender<ReadReply>>,
@@ -41,7 +41,7 @@
 }
 
 impl ControlState {
-    /// Keeps a configuration as a base for differences.
+    /// Keeps a configuration as a base for deltas.
     pub fn cache_document(&mut self, document: &Document) {
         self.deltas.clear();
         self.recent_documents.insert(document.version, document.clone());
@@ -50,7 +50,7 @@
         }
     }
 
-    /// `document` as it is sent whole.
+    /// `document` compressed, as it is sent in full.
     pub fn packed(&mut self, document: &Document) -> PackedDocument {
         if let Some(packed) =
             self.packed.as_ref().filter(|packed| packed.version == document.version)
@@ -60,7 +60,7 @@
         self.packed.insert(PackedDocument::pack(document)).clone()
     }
 
-    /// `document` as the difference to the version `base`, if that is still here.
+    /// The delta from version `base` to `document`; `None` if that version is no longer cached.
     pub fn delta(&mut self, base: u64, document: &Document) -> Option<DocumentDelta> {
         if let Some(delta) =
             self.deltas.get(&base).filter(|delta| delta.version == document.version)
@@ -72,7 +72,7 @@
         Some(delta)
     }
 
-    /// The routers and a connection to each, by zone and address.
+    /// The connected routers by zone and address, with a connection to each.
     pub fn router_endpoints(&self) -> BTreeMap<RouterEndpoint, LinkId> {
         let routers = self.links.peers(PeerRole::Router).map(|(link, _)| link);
         routers.filter_map(|link| Some((self.links.endpoint(link)?, link))).collect()
--- a/crates/coordinator/src/crash_watch.rs
+++ b/crates/coordinator/src/crash_watch.rs
@@ -1,71 +1,72 @@
-//! The leader's part in finding requests that end engines: which sightings are taken into the replicated
-//! state, and when one is taken back, released or forgotten.
+//! The leader's part in detecting requests that crash engines: which crash sightings are proposed
+//! to the replicated state, and when a sighting is revoked or a request is released or expired.
 //!
-//! A router says that an engine ended when a connection broke while the engine ran a request. A reset or
-//! a spoiled answer looks the same there, so the sighting counts at once and is taken back if the engine
-//! goes on announcing itself.
+//! A router reports a crash when a connection broke while the engine processed a request. A reset
+//! or a corrupted response looks the same to the router, so the sighting counts at once and is
+//! revoked if the engine continues to announce itself.
 
 use stackpost_gateway_core::{Quarantine, QuarantineChange, RequestFingerprint};
 use stackpost_types::{BackEndName, Millis, Timestamp};
 use std::collections::BTreeMap;
 
-/// Announcements after a sighting that show that an engine has not ended. The first may have been held
-/// up on its way.
+/// Announcements after a sighting that show that an engine has not crashed. The first one may have
+/// been delayed on its way.
 const ANNOUNCEMENTS_TO_CLEAR: u32 = 2;
-/// Suspicions of which nothing more was seen for so long are dropped.
-const SUSPICION_TIME: Millis = Millis(600_000);
+/// A suspect without further crash sightings for this long is expired.
+const SUSPECT_RETENTION: Millis = Millis(600_000);
 
-/// Time between two looks at how long each record has stood.
-const LOOK_INTERVAL: Millis = Millis(1_000);
+/// Time between two checks of the records' ages.
+const CHECK_INTERVAL: Millis = Millis(1_000);
 
-/// What this leader has seen happen to one request's record.
+/// What this leader has observed of one request's record.
 #[derive(Clone, Copy, Debug)]
-struct Watched {
-    /// Engines that had ended under it when it was looked at last.
+struct ObservedSuspect {
+    /// Number of crashed engines at the last check.
     engines: usize,
-    /// Since when it has been so.
+    /// When that number last changed.
     since: Timestamp,
 }
 
-/// The leader's watch. Its times begin anew with each leader, so a change of leader can only make a
-/// quarantine last longer.
+/// The leader's timers for crash sightings. A new leader restarts them, so a change of leader can
+/// only make a quarantine last longer.
 #[derive(Debug, Default)]
 pub(crate) struct CrashWatch {
-    /// Announcements of engines that are said to have ended.
+    /// Number of announcements of each engine since its last crash sighting.
     announcements: BTreeMap<BackEndName, u32>,
-    watched: BTreeMap<RequestFingerprint, Watched>,
-    looked_at: Timestamp,
+    observed: BTreeMap<RequestFingerprint, ObservedSuspect>,
+    checked_at: Timestamp,
 }
 
 impl CrashWatch {
-    /// Another replica leads, or this one does from now on.
+    /// Resets all timers when this replica becomes the leader or stops being it.
     pub fn on_role_change(&mut self) {
         *self = Self::default();
     }
 
-    /// What routers report, as a change to propose; `None` if it is nothing new.
+    /// Returns a router's report as a change to propose; `None` if it would change nothing.
     pub fn on_report(
         &mut self,
-        held: &Quarantine,
+        quarantine: &Quarantine,
         change: QuarantineChange,
     ) -> Option<QuarantineChange> {
         if let QuarantineChange::CrashesSeen(sightings) = &change {
-            // One that is told again is no new end of the engine: counted anew, an engine that lives would never have
-            // announced itself often enough since.
-            for seen in sightings.iter().filter(|seen| held.is_new(seen)) {
-                self.announcements.remove(&seen.engine);
+            // A repeated sighting is no new crash. If it reset the count, an engine that is still
+            // running would never reach the number of announcements that revokes the sighting.
+            for sighting in sightings.iter().filter(|sighting| quarantine.is_new(sighting)) {
+                self.announcements.remove(&sighting.engine);
             }
         }
-        held.would_change(&change).then_some(change)
+        quarantine.would_change(&change).then_some(change)
     }
 
-    /// An engine has announced itself. Returns the change if that shows that it has not ended.
+    /// Counts an announcement of an engine. Returns the change to propose once the engine has
+    /// announced itself often enough since the sighting.
     pub fn on_announced(
         &mut self,
-        held: &Quarantine,
+        quarantine: &Quarantine,
         engine: BackEndName,
     ) -> Option<QuarantineChange> {
-        if !held.has_crashes_of(&engine) {
+        if !quarantine.has_crashes_of(&engine) {
             self.announcements.remove(&engine);
             return None;
         }
@@ -74,33 +75,34 @@
         (*announcements >= ANNOUNCEMENTS_TO_CLEAR).then_some(QuarantineChange::EngineAlive(engine))
     }
 
-    /// What has lasted for as long as it was to.
-    pub fn on_tick(&mut self, now: Timestamp, held: &Quarantine) -> Vec<QuarantineChange> {
-        if now.since(self.looked_at) < LOOK_INTERVAL {
+    /// Returns the quarantines to release and the suspects to expire.
+    pub fn on_tick(&mut self, now: Timestamp, quarantine: &Quarantine) -> Vec<QuarantineChange> {
+        if now.since(self.checked_at) < CHECK_INTERVAL {
             return Vec::new();
         }
-        self.looked_at = now;
-        self.watched.retain(|request, _| held.suspect(request).is_some());
-        let (mut released, mut forgotten) = (Vec::new(), Vec::new());
-        for (request, suspect) in held.suspects() {
+        self.checked_at = now;
+        self.observed.retain(|request, _| quarantine.suspect(request).is_some());
+        let (mut released, mut expired) = (Vec::new(), Vec::new());
+        for (request, suspect) in quarantine.suspects() {
             let engines = suspect.engines().count();
-            let watched = self.watched.entry(*request).or_insert(Watched { engines, since: now });
-            if watched.engines != engines {
-                *watched = Watched { engines, since: now };
+            let observed =
+                self.observed.entry(*request).or_insert(ObservedSuspect { engines, since: now });
+            if observed.engines != engines {
+                *observed = ObservedSuspect { engines, since: now };
             }
-            let lasted = now.since(watched.since);
-            if suspect.is_quarantined() && lasted >= suspect.quarantine_time() {
+            let age = now.since(observed.since);
+            if suspect.is_quarantined() && age >= suspect.quarantine_time() {
                 released.push(*request);
-            } else if !suspect.is_quarantined() && lasted >= SUSPICION_TIME {
-                forgotten.push(*request);
+            } else if !suspect.is_quarantined() && age >= SUSPECT_RETENTION {
+                expired.push(*request);
             }
         }
         let mut changes = Vec::new();
         if !released.is_empty() {
             changes.push(QuarantineChange::Released(released));
         }
-        if !forgotten.is_empty() {
-            changes.push(QuarantineChange::Expired(forgotten));
+        if !expired.is_empty() {
+            changes.push(QuarantineChange::Expired(expired));
         }
         changes
     }
--- a/crates/coordinator/src/delivery.rs
+++ b/crates/coordinator/src/delivery.rs
@@ -1,35 +1,37 @@
-//! What the other end of a connection has been told of something that is numbered.
+//! Tracks which version of a versioned item one receiver has confirmed, and which is in flight.
 
 use stackpost_types::{Millis, Timestamp};
 
-/// What has not been confirmed is sent again after so long.
+/// Time after which an unconfirmed version is resent.
 const RESEND_AFTER: Millis = Millis(600);
 
-/// How far one receiver is. Messages may be lost, so only what it confirms counts.
+/// Delivery state of one receiver. Messages may be lost, so only confirmed versions count.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DeliveryTracker {
-    /// The version that the receiver has confirmed; zero if none.
-    known: u64,
-    /// The version that was sent last, and when.
+    /// Version that the receiver has confirmed; zero if none.
+    confirmed: u64,
+    /// Version that was sent last, and when.
     sent: Option<(u64, Timestamp)>,
 }
 
 impl DeliveryTracker {
-    /// The receiver says which version it has.
+    /// Records the version that the receiver has confirmed.
     pub fn confirm(&mut self, version: u64) {
-        self.known = version;
+        self.confirmed = version;
     }
 
-    /// Notes that `version` is sent now. Returns the version on which the receiver can build; `None` if nothing is to be sent.
+    /// Records that `version` is sent now. Returns the base version to which the receiver can apply
+    /// a delta; `None` if nothing is to be sent.
     pub fn begin_send(&mut self, now: Timestamp, version: u64) -> Option<u64> {
         let is_overdue = |at: Timestamp| now.since(at) >= RESEND_AFTER;
-        let sent_lately = self.sent.is_some_and(|(sent, at)| sent >= version && !is_overdue(at));
-        if self.known >= version || sent_lately {
+        let is_in_flight = self.sent.is_some_and(|(sent, at)| sent >= version && !is_overdue(at));
+        if self.confirmed >= version || is_in_flight {
             return None;
         }
         let sent_before = self.sent.replace((version, now));
-        // What is on its way arrives first. A receiver that has not confirmed it in time builds on what it has confirmed.
-        let on_its_way = sent_before.filter(|(_, at)| !is_overdue(*at));
-        Some(on_its_way.map_or(self.known, |(sent, _)| sent))
+        // Messages arrive in order, so a version in flight can serve as the base. A version that
+        // was not confirmed in time may be lost; then the base is the confirmed version.
+        let in_flight = sent_before.filter(|(_, at)| !is_overdue(*at));
+        Some(in_flight.map_or(self.confirmed, |(sent, _)| sent))
     }
 }
--- a/crates/coordinator/src/departure_watch.rs
+++ b/crates/coordinator/src/departure_watch.rs
@@ -1,71 +1,75 @@
-//! The leader's part in engines' departures: which words are written down, and when they are forgotten.
+//! The leader's part in engines' departures: which records are proposed to the log, and when they
+//! expire.
 
 use stackpost_gateway_core::{DepartureChange, DepartureRecord, Departures};
 use stackpost_types::{BackEndName, Millis, Timestamp};
 use std::collections::BTreeMap;
 
-/// How long a word is kept: longer than an engine serves on, and than a heartbeat may be held up.
-const KEEP_TIME: Millis = Millis(180_000);
-/// A word whose entry has not been committed for so long is proposed again.
-const PROPOSE_AGAIN: Millis = Millis(400);
-/// Time between two looks at how long words have been kept.
-const LOOK_INTERVAL: Millis = Millis(1_000);
+/// How long a record is kept: longer than a leaving engine continues to serve, and longer than a
+/// heartbeat may be delayed.
+const RETENTION: Millis = Millis(180_000);
+/// A record whose log entry has not been committed after this time is proposed again.
+const PROPOSAL_TIMEOUT: Millis = Millis(400);
+/// Time between two checks of the records' ages.
+const CHECK_INTERVAL: Millis = Millis(1_000);
 
-/// The leader's watch. Its times begin anew with each leader, so a change of leader can only make a word stay longer.
+/// The leader's timers for departure records. A new leader restarts them, so a change of leader can
+/// only make a record stay longer.
 #[derive(Debug, Default)]
 pub(crate) struct DepartureWatch {
-    /// Words on their way into the log, and since when.
+    /// Proposed records that are not committed yet, and when each was proposed.
     proposed: BTreeMap<BackEndName, (DepartureRecord, Timestamp)>,
-    /// The revision of each word that is held, and since when.
-    held: BTreeMap<BackEndName, (u64, Timestamp)>,
-    looked_at: Timestamp,
+    /// Revision of each committed record, and when this leader first saw it.
+    first_seen: BTreeMap<BackEndName, (u64, Timestamp)>,
+    checked_at: Timestamp,
 }
 
 impl DepartureWatch {
-    /// Another replica leads, or this one does from now on.
+    /// Resets all timers when this replica becomes the leader or stops being it.
     pub fn on_role_change(&mut self) {
         *self = Self::default();
     }
 
-    /// What control processes ask to have written down, as a change to propose; `None` if it is nothing new.
+    /// Returns the records received from control processes as a change to propose; `None` if it
+    /// would change nothing.
     pub fn on_notices(
         &mut self,
         now: Timestamp,
-        held: &Departures,
-        words: Vec<DepartureRecord>,
+        departures: &Departures,
+        records: Vec<DepartureRecord>,
     ) -> Option<DepartureChange> {
-        let is_under_way = |word: &DepartureRecord| {
-            let proposed = self.proposed.get(&word.engine);
-            proposed.is_some_and(|(other, at)| other == word && now.since(*at) < PROPOSE_AGAIN)
+        let is_pending = |record: &DepartureRecord| {
+            let proposed = self.proposed.get(&record.engine);
+            proposed.is_some_and(|(other, at)| other == record && now.since(*at) < PROPOSAL_TIMEOUT)
         };
-        let news: Vec<DepartureRecord> = words
+        let new_records: Vec<DepartureRecord> = records
             .into_iter()
-            .filter(|word| held.would_change(word) && !is_under_way(word))
+            .filter(|record| departures.would_change(record) && !is_pending(record))
             .collect();
-        for word in &news {
-            self.proposed.insert(word.engine.clone(), (word.clone(), now));
+        for record in &new_records {
+            self.proposed.insert(record.engine.clone(), (record.clone(), now));
         }
-        (!news.is_empty()).then_some(DepartureChange::Announced(news))
+        (!new_records.is_empty()).then_some(DepartureChange::Announced(new_records))
     }
 
-    /// What has been kept for long enough.
-    pub fn on_tick(&mut self, now: Timestamp, held: &Departures) -> Option<DepartureChange> {
-        if now.since(self.looked_at) < LOOK_INTERVAL {
+    /// Returns the records to expire.
+    pub fn on_tick(&mut self, now: Timestamp, departures: &Departures) -> Option<DepartureChange> {
+        if now.since(self.checked_at) < CHECK_INTERVAL {
             return None;
         }
-        self.looked_at = now;
-        self.proposed.retain(|_, (word, _)| held.would_change(word));
-        self.held.retain(|engine, _| held.get(engine).is_some());
-        let mut old = Vec::new();
-        for (engine, revision) in held.revisions() {
-            let since = self.held.entry(engine.clone()).or_insert((revision, now));
+        self.checked_at = now;
+        self.proposed.retain(|_, (record, _)| departures.would_change(record));
+        self.first_seen.retain(|engine, _| departures.get(engine).is_some());
+        let mut expired = Vec::new();
+        for (engine, revision) in departures.revisions() {
+            let since = self.first_seen.entry(engine.clone()).or_insert((revision, now));
             if since.0 != revision {
                 *since = (revision, now);
             }
-            if now.since(since.1) >= KEEP_TIME {
-                old.push(engine.clone());
+            if now.since(since.1) >= RETENTION {
+                expired.push(engine.clone());
             }
         }
-        (!old.is_empty()).then_some(DepartureChange::Expired(old))
+        (!expired.is_empty()).then_some(DepartureChange::Expired(expired))
     }
 }
--- a/crates/coordinator/src/departures.rs
+++ b/crates/coordinator/src/departures.rs
@@ -1,7 +1,9 @@
-//! Engines' departures on their way into the replicated state, and from there to the directory and to routers.
+//! Submits engines' departures to the replicated log, and passes committed ones to the directory
+//! and to routers.
 //!
-//! An engine's word that it leaves is acknowledged only once a majority of the replicas holds it: whoever acknowledged may
-//! be lost in that moment, and the engine calls nobody again.
+//! A departure notice is acknowledged only once a majority of the replicas holds it: the process
+//! that acknowledges may be lost right afterwards, and the engine does not repeat an acknowledged
+//! notice.
 
 use crate::control_node::ControlNode;
 use crate::message::FleetMessage;
@@ -14,56 +16,62 @@
 use thiserror::Error;
 use tokio::time::timeout;
 
-/// Longest wait for a word to be written down: engines give a call up after a second.
-const WRITE_LIMIT: Duration = Duration::from_millis(800);
-/// A word that could not be written down is tried again for so long. It is true whether or not it was acknowledged.
-const TRY_TIME: Millis = Millis(30_000);
+/// Longest wait for a departure to be committed: engines time out a call after one second.
+const COMMIT_TIMEOUT: Duration = Duration::from_millis(800);
+/// How long the commit of a departure is retried. The departure is valid whether or not it was
+/// acknowledged.
+const COMMIT_RETRY_PERIOD: Millis = Millis(30_000);
 
-/// The replicated state does not hold an engine's word yet, so it can't be acknowledged.
+/// The departure is not in the replicated state yet, so it can't be acknowledged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("engines' departures: not written down by a majority of the control replicas")]
+#[error("engine departure: not committed by a majority of the control replicas")]
 pub struct NotCommitted;
 
-/// Words that this process has taken in and that are not in the replicated state yet.
+/// Departure records that this process has received and that are not committed yet.
 #[derive(Debug, Default)]
 pub(crate) struct UncommittedDepartures {
     records: BTreeMap<BackEndName, (DepartureRecord, Timestamp)>,
 }
 
 impl UncommittedDepartures {
-    /// Keeps a word until it is written down. The newest word of an engine counts.
-    fn insert(&mut self, now: Timestamp, word: DepartureRecord) {
-        self.records.insert(word.engine.clone(), (word, now));
+    /// Keeps a record until it is committed, replacing an earlier one of the same engine.
+    fn insert(&mut self, now: Timestamp, departure: DepartureRecord) {
+        self.records.insert(departure.engine.clone(), (departure, now));
     }
 
-    /// What is still to be written down.
+    /// Drops committed and expired records and returns the rest.
     fn remaining(&mut self, now: Timestamp, known: &KnownDepartures) -> Vec<DepartureRecord> {
-        self.records
-            .retain(|_, (word, since)| known.would_change(word) && now.since(*since) < TRY_TIME);
-        self.records.values().map(|(word, _)| word.clone()).collect()
+        self.records.retain(|_, (departure, since)| {
+            known.would_change(departure) && now.since(*since) < COMMIT_RETRY_PERIOD
+        });
+        self.records.values().map(|(departure, _)| departure.clone()).collect()
     }
 }
 
 impl ControlNode {
-    /// Has a word written down. Returns once it is known to be, or a newer one of that engine.
-    pub(crate) async fn commit_departure(&self, word: DepartureRecord) -> Result<(), NotCommitted> {
-        let mut known = self.committed_departures_revision.subscribe();
-        self.submit_departure(word.clone());
-        let is_held = |_: &u64| self.state.borrow().departures.covers(&word);
-        let waited = timeout(WRITE_LIMIT, known.wait_for(is_held)).await;
-        let written = waited.is_ok_and(|known| known.is_ok());
-        if written { Ok(()) } else { Err(NotCommitted) }
+    /// Submits a departure and waits until it, or a newer one of that engine, is committed.
+    pub(crate) async fn commit_departure(
+        &self,
+        departure: DepartureRecord,
+    ) -> Result<(), NotCommitted> {
+        let mut revision = self.committed_departures_revision.subscribe();
+        self.submit_departure(departure.clone());
+        let is_covered = |_: &u64| self.state.borrow().departures.covers(&departure);
+        let result = timeout(COMMIT_TIMEOUT, revision.wait_for(is_covered)).await;
+        let is_committed = result.is_ok_and(|revision| revision.is_ok());
+        if is_committed { Ok(()) } else { Err(NotCommitted) }
     }
 
-    /// Has a word written down without waiting for it, if it is news.
-    pub(crate) fn submit_departure(&self, word: DepartureRecord) {
-        if self.state.borrow().departures.would_change(&word) {
-            self.state.borrow_mut().uncommitted.insert(self.now(), word);
+    /// Submits a departure without waiting for the commit, if it would change the replicated state.
+    pub(crate) fn submit_departure(&self, departure: DepartureRecord) {
+        if self.state.borrow().departures.would_change(&departure) {
+            self.state.borrow_mut().uncommitted.insert(self.now(), departure);
             self.forward_uncommitted();
         }
     }
 
-    /// Hands words that are not written down yet to the leader. Its answer is the change of the replicated state.
+    /// Sends uncommitted departures to the leader. The change of the replicated state confirms
+    /// them; there is no other reply.
     pub(crate) fn forward_uncommitted(&self) {
         let records = {
             let state = &mut *self.state.borrow_mut();
@@ -79,24 +87,24 @@
         self.replica.send(ReplicaEvent::DepartureNotices(records));
     }
 
-    /// Takes over what the own replica holds.
+    /// Copies new departures from the own replica.
     pub(crate) fn sync_departures(&self) {
         let view = self.replica.view();
-        let known = self.state.borrow().departures.revision();
-        if view.departures.revision() > known {
-            self.on_departures(&view.departures.since(known));
+        let revision = self.state.borrow().departures.revision();
+        if view.departures.revision() > revision {
+            self.on_departures(&view.departures.since(revision));
         }
     }
 
-    /// Takes in what is written down, and passes it on if this replica leads. A machine that stands by holds no log and hears
-    /// of it from the leader.
-    pub(crate) fn on_departures(&self, news: &DepartureDelta) {
+    /// Merges committed departures, and forwards them if this replica leads. A standby machine
+    /// holds no log and receives them from the leader.
+    pub(crate) fn on_departures(&self, delta: &DepartureDelta) {
         let now = self.now();
         let revision = {
             let state = &mut *self.state.borrow_mut();
-            state.departures.merge_delta(now, news);
-            for word in &news.records {
-                state.directory.apply_departure(now, word);
+            state.departures.merge_delta(now, delta);
+            for departure in &delta.records {
+                state.directory.apply_departure(now, departure);
             }
             state.departures.revision()
         };
@@ -106,7 +114,8 @@
         }
     }
 
-    /// Another control process says which departures it knows.
+    /// Records which departures another control process has confirmed, and sends it later ones if
+    /// this replica leads.
     pub(crate) fn on_departures_confirmed(&self, link: LinkId, revision: u64) {
         if let Some(entry) = self.state.borrow_mut().links.get_mut(link) {
             entry.delivery.departures.confirm(revision);
--- a/crates/coordinator/src/document_delta.rs
+++ b/crates/coordinator/src/document_delta.rs
@@ -1,44 +1,44 @@
-//! A configuration as the difference to an earlier one.
+//! A configuration as a delta to an earlier one.
 //!
-//! Configurations change in few places, and routers need each of them at once. So a router that
-//! holds an earlier one gets the parts that are new, and copies the rest from what it has.
+//! Configurations change in few places, and every router needs each change at once. A router that
+//! holds an earlier version receives only the new parts and copies the rest from its own version.
 
 use crate::message::Document;
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Bytes of the earlier document that are looked up together.
-const BLOCK: usize = 48;
+/// Length in bytes of the blocks by which the base document is indexed.
+const BLOCK_BYTES: usize = 48;
 
 /// One part of the new document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 enum Part {
-    /// Bytes of the earlier document.
+    /// A range of the base document.
     Copy {
-        /// Where they begin.
+        /// Offset in bytes.
         start: u32,
-        /// How many.
+        /// Length in bytes.
         length: u32,
     },
-    /// Bytes that are new.
+    /// Bytes that are not in the base document.
     New(Vec<u8>),
 }
 
-/// How to make a document from an earlier one.
+/// Instructions to build a document from an earlier one, the base.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DocumentDelta {
-    /// Version of the earlier document.
+    /// Version of the base document.
     pub base_version: u64,
-    /// Version of the new one.
+    /// Version of the new document.
     pub version: u64,
-    /// Checksum of the new one's bytes.
+    /// CRC-32 of the new document.
     checksum: u32,
     parts: Vec<Part>,
 }
 
 impl DocumentDelta {
-    /// The difference of `document` to `base`.
+    /// The delta from `base` to `document`.
     pub fn between(base: &Document, document: &Document) -> Self {
         Self {
             base_version: base.version,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// The new document; `None` if `base` is not the one this is a difference to.
+    /// Builds the new document; `None` if `base` is not the document that this delta is based on.
     pub fn apply(&self, base: &Document) -> Option<Document> {
         if base.version != self.base_version {
             return None;
@@ -63,31 +63,31 @@
                 Part::New(new) => bytes.extend_from_slice(new),
             }
         }
-        let whole = crc32fast::hash(&bytes) == self.checksum;
-        whole.then(|| Document { version: self.version, bytes: Arc::from(bytes) })
+        let is_intact = crc32fast::hash(&bytes) == self.checksum;
+        is_intact.then(|| Document { version: self.version, bytes: Arc::from(bytes) })
     }
 }
 
 fn parts(base: &[u8], new: &[u8]) -> Vec<Part> {
     let blocks: HashMap<&[u8], usize> = base
-        .chunks_exact(BLOCK)
+        .chunks_exact(BLOCK_BYTES)
         .enumerate()
-        .map(|(number, block)| (block, number * BLOCK))
+        .map(|(number, block)| (block, number * BLOCK_BYTES))
         .collect();
     let mut parts = Vec::new();
     let (mut at, mut unmatched) = (0, 0);
-    while at + BLOCK <= new.len() {
-        let Some(start) = blocks.get(&new[at..at + BLOCK]).copied() else {
+    while at + BLOCK_BYTES <= new.len() {
+        let Some(start) = blocks.get(&new[at..at + BLOCK_BYTES]).copied() else {
             at += 1;
             continue;
         };
-        // The match may begin before the block and go on after it.
+        // The match may extend in both directions beyond the block.
         let before = common_end(&base[..start], &new[unmatched..at]);
-        let after = common_start(&base[start + BLOCK..], &new[at + BLOCK..]);
+        let after = common_start(&base[start + BLOCK_BYTES..], &new[at + BLOCK_BYTES..]);
         push_new(&mut parts, &new[unmatched..at - before]);
-        let length = before + BLOCK + after;
+        let length = before + BLOCK_BYTES + after;
         parts.push(Part::Copy { start: (start - before) as u32, length: length as u32 });
-        at += BLOCK + after;
+        at += BLOCK_BYTES + after;
         unmatched = at;
     }
     push_new(&mut parts, &new[unmatched..]);
--- a/crates/coordinator/src/engine_updates.rs
+++ b/crates/coordinator/src/engine_updates.rs
@@ -1,5 +1,5 @@
-//! What a control process hears of engines: their own calls, what other control processes say, and routers'
-//! reports of engines that ended.
+//! Handles what a control process receives about engines: the engines' own calls, notices of other
+//! control processes, and crash reports of routers.
 
 use crate::control_node::ControlNode;
 use crate::departures::NotCommitted;
@@ -13,52 +13,54 @@
 use stackpost_types::{BackEndName, Timestamp};
 use thiserror::Error;
 
-/// Why an announcement is not acknowledged.
+/// Reason for which an announcement is not acknowledged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum AnnouncementError {
-    /// The configuration in force names no such service. Nothing has changed.
+    /// The configuration in force has no such service. The state is unchanged.
     #[error("the configuration names no such service")]
     UnknownService,
-    /// The engine is known to belong to another service. Nothing has changed.
+    /// The engine is known to belong to another service. The state is unchanged.
     #[error("the engine belongs to another service")]
     ServiceMismatch,
-    /// The engine leaves, which may not outlive this process. Whoever can be reached has been told.
+    /// The engine's departure is not committed and may be lost with this process. All connected
+    /// processes have received it.
     #[error(transparent)]
     NotCommitted(#[from] NotCommitted),
 }
 
 impl ControlNode {
-    /// Takes in an engine's announcement. A change is on its way to everyone when this returns, and that an engine
-    /// drains is written down.
+    /// Handles an engine's announcement. When this returns, a change has been sent to all connected
+    /// processes, and the announcement that an engine drains is committed.
     ///
     /// # Errors
     ///
-    /// The announcement can't be one of an engine of this fleet, or could not be written down.
+    /// The announcement does not fit an engine of this fleet, or could not be committed.
     pub async fn announce(&self, notice: EngineNotice) -> Result<(), AnnouncementError> {
         self.check(&notice)?;
         self.sync_departures();
-        let word = DepartureRecord {
+        let departure = DepartureRecord {
             engine: notice.engine.clone(),
             state: notice.state,
             sequence: notice.sequence,
         };
-        if self.take_in(notice) == MergeOutcome::Changed {
+        if self.merge_announcement(notice) == MergeOutcome::Changed {
             self.broadcast_engines();
         }
-        self.acknowledge(word).await
+        self.acknowledge(departure).await
     }
 
-    /// Takes an announcement into the directory, and tells other control processes if it is news.
-    fn take_in(&self, notice: EngineNotice) -> MergeOutcome {
+    /// Merges an announcement into the directory, and sends it to other control processes if it
+    /// changed something.
+    fn merge_announcement(&self, notice: EngineNotice) -> MergeOutcome {
         let now = self.now();
         let name = notice.engine.clone();
         let state = &mut *self.state.borrow_mut();
         let merge = state.directory.merge(now, notice.clone());
         self.metrics.on_announcement(notice.state, merge);
         match merge {
-            MergeOutcome::Stale => log_old(&notice),
+            MergeOutcome::Stale => log_stale(&notice),
             MergeOutcome::Refreshed => {
-                self.on_still_announced(&name);
+                self.on_repeated_announcement(&name);
                 state.refreshed.insert(name);
             }
             MergeOutcome::Changed => {
@@ -75,52 +77,53 @@
         merge
     }
 
-    /// Has written down what an engine says of its end. That it takes work again is written down in passing: it is
-    /// acknowledged as any other announcement.
-    async fn acknowledge(&self, word: DepartureRecord) -> Result<(), AnnouncementError> {
-        if word.state == EngineState::Ready {
-            self.submit_departure(word);
+    /// Commits an engine's departure. That an engine is ready again is submitted without waiting
+    /// for the commit: it is acknowledged like any other announcement.
+    async fn acknowledge(&self, departure: DepartureRecord) -> Result<(), AnnouncementError> {
+        if departure.state == EngineState::Ready {
+            self.submit_departure(departure);
             return Ok(());
         }
-        if self.is_outdated(&word) || self.state.borrow().departures.covers(&word) {
+        if self.is_outdated(&departure) || self.state.borrow().departures.covers(&departure) {
             return Ok(());
         }
-        let written = self.commit_departure(word.clone()).await;
-        self.metrics.on_departure(word.state, written.is_ok());
-        log_departure(&word, written);
-        Ok(written?)
+        let result = self.commit_departure(departure.clone()).await;
+        self.metrics.on_departure(departure.state, result.is_ok());
+        log_departure(&departure, result);
+        Ok(result?)
     }
 
-    /// Whether an engine is known to take work again since it said `word`.
-    fn is_outdated(&self, word: &DepartureRecord) -> bool {
+    /// Whether the engine is known to have become ready again after `departure`.
+    fn is_outdated(&self, departure: &DepartureRecord) -> bool {
         let state = self.state.borrow();
-        let known = state.directory.get(&word.engine).map(|record| &record.notice);
-        word.state != EngineState::Gone
+        let known = state.directory.get(&departure.engine).map(|record| &record.notice);
+        departure.state != EngineState::Gone
             && known.is_some_and(|known| {
-                known.state == EngineState::Ready && known.sequence > word.sequence
+                known.state == EngineState::Ready && known.sequence > departure.sequence
             })
     }
 
-    /// An engine keeps its service for life, and there are none of services that nobody has configured.
+    /// Checks that the service is configured and that the engine has not changed its service, which
+    /// stays the same for an incarnation.
     fn check(&self, notice: &EngineNotice) -> Result<(), AnnouncementError> {
         let services = self.replica.view().services;
         if services.is_some_and(|services| !services.contains(&notice.service)) {
             return Err(AnnouncementError::UnknownService);
         }
         let state = self.state.borrow();
-        let same = state.directory.get(&notice.engine).is_none_or(|known| {
+        let is_same_service = state.directory.get(&notice.engine).is_none_or(|known| {
             let has_service = known.notice.state != EngineState::Gone && !known.is_name_only();
             !has_service || known.notice.service == notice.service
         });
-        if same { Ok(()) } else { Err(AnnouncementError::ServiceMismatch) }
+        if is_same_service { Ok(()) } else { Err(AnnouncementError::ServiceMismatch) }
     }
 
-    /// Takes in that the engine `id` has left; `started_at_ms` names the life, if that is known. It is written down when this
-    /// returns.
+    /// Records that the engine `id` has left; `started_at_ms` identifies the incarnation, if known.
+    /// The departure is committed when this returns.
     ///
     /// # Errors
     ///
-    /// It could not be written down. Whoever can be reached has been told.
+    /// The departure could not be committed. All connected processes have received it.
     pub async fn engine_left(
         &self,
         id: &str,
@@ -143,31 +146,32 @@
         self.acknowledge(DepartureRecord { engine, state, sequence }).await
     }
 
-    /// Takes in what another control process says of engines. It has told the routers that it reaches, so others hear of it
-    /// with the next status.
+    /// Merges engine notices of another control process. That process has sent them to the routers
+    /// it is connected to; this one sends them to its routers with the next status.
     pub(crate) fn on_engines(&self, notices: Vec<EngineNotice>) {
         let now = self.now();
         for notice in notices {
             let engine = notice.engine.clone();
             let merge = self.state.borrow_mut().directory.merge(now, notice);
             if merge == MergeOutcome::Refreshed {
-                self.on_still_announced(&engine);
+                self.on_repeated_announcement(&engine);
             }
         }
     }
 
-    /// Forgets engines that have not been announced for long, and tells routers to do so.
+    /// Evicts engines that have been silent for too long, and notifies routers.
     pub(crate) fn expire_silent_engines(&self) {
         let now = self.now();
         let state = &mut *self.state.borrow_mut();
-        let given_up = state.directory.evict_silent(now);
-        if !given_up.is_empty() {
+        let evicted = state.directory.evict_silent(now);
+        if !evicted.is_empty() {
             let routers = state.links.one_per_peer(now, PeerRole::Router);
-            self.mesh.send_all(routers, &FleetMessage::ExpiredEngines(given_up));
+            self.mesh.send_all(routers, &FleetMessage::ExpiredEngines(evicted));
         }
     }
 
-    /// A report may be old: a router that was cut off tells what it saw meanwhile.
+    /// Handles a crash report. It may be old: a router that was partitioned reports what it saw
+    /// meanwhile, so sightings from before an engine's later announcements are ignored.
     pub(crate) fn on_crash_report(&self, report: CrashReport) {
         let now = self.now();
         let state = self.state.borrow();
@@ -189,16 +193,16 @@
         }
     }
 
-    /// An engine that is known goes on announcing itself.
-    fn on_still_announced(&self, engine: &BackEndName) {
+    /// Tells the replica that an engine with crash sightings has announced itself again.
+    fn on_repeated_announcement(&self, engine: &BackEndName) {
         if self.replica.view().quarantine.has_crashes_of(engine) {
             self.replica.send(ReplicaEvent::EngineAnnounced(engine.clone()));
         }
     }
 }
 
-/// An announcement that changes nothing is acknowledged all the same.
-fn log_old(notice: &EngineNotice) {
+/// Logs an outdated announcement. It changes nothing but is acknowledged.
+fn log_stale(notice: &EngineNotice) {
     if notice.state != EngineState::Ready {
         log::info!(
             engine = notice.engine.as_str(),
@@ -209,9 +213,9 @@
     }
 }
 
-fn log_departure(word: &DepartureRecord, written: Result<(), NotCommitted>) {
-    let (engine, state) = (word.engine.as_str(), word.state.as_str());
-    match written {
+fn log_departure(departure: &DepartureRecord, result: Result<(), NotCommitted>) {
+    let (engine, state) = (departure.engine.as_str(), departure.state.as_str());
+    match result {
         Ok(()) => log::info!(engine = engine, state = state; "departure written down"),
         Err(error) => log::warn!(engine = engine, state = state; "not acknowledged: {error}"),
     }
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -2,9 +2,10 @@
 //!
 //! - [`FleetState`]: the configuration document, the prepaid ledger and the voters, changed only by
 //!   committed [`Command`]s.
-//! - [`Replica`]: one replica without sockets; [`ReplicaThread`] runs it beside the reactor.
-//! - [`ControlNode`]: what a control process does with its peers, the routers and the engines.
-//! - [`FleetMessage`]: what processes of a fleet tell one another.
+//! - [`Replica`]: one replica without sockets; [`ReplicaThread`] runs it on a thread of its own.
+//! - [`ControlNode`]: the control process, which connects the replica to peers, routers and
+//! engines.
+//! - [`FleetMessage`]: the messages between processes of a fleet.
 
 mod control_metrics;
 mod control_node;
@@ -51,8 +52,8 @@
 
 use stackpost_gateway_core::{ConfigError, RoutingConfig};
 
-/// Reads configuration documents. The document itself is kept and handed out byte for byte.
+/// Decodes configuration documents. The document itself is stored and served byte for byte.
 pub trait DocumentCodec: Send + Sync {
-    /// Reads a document; the result has not been validated.
+    /// Decodes a document without validating it.
     fn decode(&self, bytes: &[u8]) -> Result<RoutingConfig, ConfigError>;
 }
--- a/crates/coordinator/src/links.rs
+++ b/crates/coordinator/src/links.rs
@@ -1,9 +1,9 @@
-//! The connections of a control process, and over which of them each other process is told things.
+//! The connections of a control process, and which of them is used for each message.
 //!
-//! Both ends of a pair of control processes dial, so there are often two connections between them. Each
-//! end gives up a connection over which it hears nothing, so statuses go over every one. What must not
-//! be lost goes over one that has been heard lately: a connection may fall silent for good without
-//! a reset, long before it is given up.
+//! Both ends of a pair of control processes dial, so there are often two connections between them.
+//! Each end closes a connection over which it receives nothing, so statuses are sent over every
+//! one. Messages that must not be lost are sent over a connection that has received something
+//! recently: a connection may stop working without a reset, long before it times out.
 
 use crate::router_updates::PeerDelivery;
 use stackpost_gateway_core::RouterEndpoint;
@@ -11,15 +11,17 @@
 use stackpost_types::{MachineName, Millis, NodeId, Timestamp, ZoneName};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A connection that has been heard within this time is as good as any: two statuses and a half.
-const HEARD_LATELY: Millis = Millis(500);
+/// A connection that has received a message within this time, two and a half status intervals,
+/// counts as active.
+const ACTIVE_WITHIN: Millis = Millis(500);
 
 /// One connection to another process.
 #[derive(Clone, Debug)]
 pub struct Link {
     /// The other end.
     pub peer: PeerInfo,
-    /// What has been told over it: departures to control processes, all of it to routers.
+    /// What has been sent over it: departures to control processes, all kinds of updates to
+    /// routers.
     pub delivery: PeerDelivery,
     last_received_at: Timestamp,
 }
@@ -31,41 +33,41 @@
 }
 
 impl Links {
-    /// A connection has come up.
+    /// Adds a new connection.
     pub fn up(&mut self, now: Timestamp, link: LinkId, peer: PeerInfo) {
         let entry = Link { peer, delivery: PeerDelivery::default(), last_received_at: now };
         self.links.insert(link, entry);
     }
 
-    /// A connection is gone.
+    /// Removes a closed connection.
     pub fn down(&mut self, link: LinkId) {
         self.links.remove(&link);
     }
 
-    /// A message has come over a connection. Returns its sender, unless the connection is gone.
+    /// Records that a message was received. Returns its sender; `None` if the connection is closed.
     pub fn on_received(&mut self, now: Timestamp, link: LinkId) -> Option<NodeId> {
         let entry = self.links.get_mut(&link)?;
         entry.last_received_at = now;
         Some(entry.peer.node.clone())
     }
 
-    /// A connection's books.
+    /// The state of a connection.
     pub fn get_mut(&mut self, link: LinkId) -> Option<&mut Link> {
         self.links.get_mut(&link)
     }
 
-    /// The connection over which to tell a process that `matches` something.
+    /// The best connection to a process that `matches`.
     pub fn best(&self, now: Timestamp, matches: impl Fn(&PeerInfo) -> bool) -> Option<LinkId> {
         let candidates = self.links.iter().filter(|(_, link)| matches(&link.peer));
         candidates.max_by_key(|(id, link)| rank(now, **id, link)).map(|(id, _)| *id)
     }
 
-    /// The connection to a machine that serves control.
+    /// The best connection to the control process of a machine.
     pub fn link_to_control(&self, now: Timestamp, machine: &MachineName) -> Option<LinkId> {
         self.best(now, |peer| peer.role == PeerRole::Control && peer.node.machine == *machine)
     }
 
-    /// The connection to one life of a router.
+    /// The best connection to one incarnation of a router.
     pub fn link_to_router(&self, now: Timestamp, router: &NodeId) -> Option<LinkId> {
         self.best(now, |peer| peer.role == PeerRole::Router && peer.node == *router)
     }
@@ -89,30 +91,30 @@
         links
     }
 
-    /// Every connection, for what also shows the other end that this one is alive.
+    /// Every connection, for messages that also serve as keep-alives.
     pub fn all(&self) -> Vec<LinkId> {
         self.links.keys().copied().collect()
     }
 
-    /// The machines with `role` that are connected, with their zones.
+    /// The connected machines with `role`, with their zones.
     pub fn machines(&self, role: PeerRole) -> BTreeMap<MachineName, ZoneName> {
         let peers = self.links.values().map(|link| &link.peer).filter(|peer| peer.role == role);
         peers.map(|peer| (peer.node.machine.clone(), peer.zone.clone())).collect()
     }
 
-    /// The processes with `role` that are connected.
+    /// The connected processes with `role`, once for each connection.
     pub fn peers(&self, role: PeerRole) -> impl Iterator<Item = (LinkId, &PeerInfo)> {
         let links = self.links.iter().map(|(id, link)| (*id, &link.peer));
         links.filter(move |(_, peer)| peer.role == role)
     }
 
-    /// Where the process at the other end stands.
+    /// Zone and listen address of the process at the other end.
     pub fn endpoint(&self, link: LinkId) -> Option<RouterEndpoint> {
         let peer = &self.links.get(&link)?.peer;
         Some(RouterEndpoint { zone: peer.zone.clone(), address: peer.listen_address })
     }
 
-    /// How many machines with `role` are connected.
+    /// Number of connected machines with `role`.
     pub fn count_machines(&self, role: PeerRole) -> usize {
         let machines: BTreeSet<&MachineName> =
             self.peers(role).map(|(_, peer)| &peer.node.machine).collect();
@@ -120,9 +122,10 @@
     }
 }
 
-/// Connections that were heard lately first, the newest of them; else the one that was heard last.
+/// Ranks connections: active ones before inactive ones; among active ones the newest, among
+/// inactive ones the one that received a message last.
 fn rank(now: Timestamp, id: LinkId, link: &Link) -> (bool, Timestamp, LinkId) {
-    let lately = now.since(link.last_received_at) < HEARD_LATELY;
-    let last_received_at = if lately { Timestamp(0) } else { link.last_received_at };
-    (lately, last_received_at, id)
+    let is_active = now.since(link.last_received_at) < ACTIVE_WITHIN;
+    let last_received_at = if is_active { Timestamp(0) } else { link.last_received_at };
+    (is_active, last_received_at, id)
 }
--- a/crates/coordinator/src/message.rs
+++ b/crates/coordinator/src/message.rs
@@ -1,4 +1,4 @@
-//! What processes of a fleet tell one another.
+//! Messages between the processes of a fleet.
 
 use crate::document_delta::DocumentDelta;
 use crate::packed_document::PackedDocument;
@@ -17,35 +17,35 @@
 /// The configuration as the operator sent it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Document {
-    /// Given by the operator; the highest holds.
+    /// Set by the operator; the highest version is in force.
     pub version: u64,
-    /// Byte for byte as it was sent.
+    /// The document, byte for byte as it was received.
     pub bytes: Arc<[u8]>,
 }
 
-/// What a control replica says of itself, some times a second.
+/// Status of a control replica, sent several times a second.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ControlStatus {
-    /// Whether it is the leader and no other can have been elected since.
+    /// Whether it is the leader and no other replica can have been elected since.
     pub leads: bool,
-    /// Version of the newest configuration it has applied; zero if there is none.
+    /// Version of the latest configuration it has applied; zero if there is none.
     pub document_version: u64,
     /// Revision of the engines' departures that it holds.
     pub departures: u64,
-    /// Its clock, to be given back by routers; of no meaning to anyone else.
+    /// Its clock, echoed by routers; meaningless to any other process.
     pub clock: Timestamp,
     /// Routers connected to it.
     pub routers: u32,
-    /// Where the control processes it knows accept connections of the fleet.
+    /// Addresses at which the control processes it knows accept connections of the fleet.
     pub control_peers: Vec<SocketAddr>,
 }
 
-/// How far a router is with what one control process tells it; zero where it has heard nothing.
+/// The versions that a router has received from one control process; zero where it has none.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouterVersions {
-    /// Version of the configuration, whoever told it.
+    /// Version of the configuration, whichever process sent it.
     pub document: u64,
-    /// Revision of the engines' departures, whoever told them.
+    /// Revision of the engines' departures, whichever process sent them.
     pub departures: u64,
     /// Revision of that process's directory of engines.
     pub engines: u64,
@@ -55,41 +55,41 @@
     pub routers: u64,
 }
 
-/// What a router tells the leader, some times a second.
+/// Status of a router, sent several times a second.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouterStatus {
-    /// How far it is with what the control process tells it that this is sent to.
+    /// The versions it has received from the control process to which this status is sent.
     pub versions: RouterVersions,
-    /// Whether it would take a configuration that no leader has confirmed.
+    /// Whether it would accept a configuration that no leader has confirmed.
     pub accepts_unconfirmed: bool,
     /// When its process started, by the clock of its machine.
     pub started: BootTimestamp,
-    /// When it last heard the control process that this is sent to.
+    /// When it last received a status from the control process to which this status is sent.
     pub echo: Option<ClockEcho>,
-    /// Its last contact with a leader. Given only if `accounts` holds all accounts as they were
-    /// after that contact.
+    /// Its last contact with a leader. Set only if `accounts` holds all accounts as they were after
+    /// that contact.
     pub contact: Option<BootTimestamp>,
-    /// Its accounts, where they have changed.
+    /// Its accounts that have changed.
     pub accounts: Vec<(TenantName, AccountReport)>,
 }
 
 /// One moment on two clocks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClockEcho {
-    /// When the router heard the control process, by the clock of its machine.
+    /// When the router received the status, by the clock of its machine.
     pub received_at: BootTimestamp,
-    /// When the control process had spoken, by its own clock.
+    /// When the control process sent the status, by its own clock.
     pub sent_at: Timestamp,
 }
 
-/// What a router says to another one that wants to borrow.
+/// Reply of a router to another one that wants to borrow tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum BorrowAnswer {
-    /// What it may spend does not cover the request, and the leader has handed it nothing for it.
+    /// The tokens it may spend do not cover the request, and the leader has granted it none for it.
     NotCovered,
     /// The tokens are reserved.
     Lent,
-    /// It ends, or it can't ask the leader; another router may have the tokens.
+    /// It is stopping or disconnected from the leader; another router may have the tokens.
     AskAnother,
 }
 
@@ -104,77 +104,79 @@
     Document(PackedDocument),
     /// From a control replica to a router that holds the version it is based on.
     DocumentDelta(DocumentDelta),
-    /// Between control replicas: what engines have announced.
+    /// Between control processes: announcements of engines.
     Engines(Vec<EngineNotice>),
-    /// From a control replica to a router: what is new in its directory of engines.
+    /// From a control process to a router: changes of its directory of engines.
     EngineChanges(DirectoryDelta),
-    /// From a control replica to routers: engines that it has not heard of late.
+    /// From a control process to routers: engines whose announcements are overdue.
     SilentEngines {
-        /// Rises with each change.
+        /// Increases with each change.
         version: u64,
-        /// The engines.
+        /// The silent engines.
         engines: BTreeSet<BackEndName>,
     },
-    /// From a router to control.
+    /// From a router to a control process.
     RouterStatus(RouterStatus),
-    /// From the leader to a router: what it has been handed in all.
+    /// From the leader to a router: the totals of its allotments.
     Allotments(Vec<(TenantName, Allotment)>),
-    /// From the leader to a router: what it may keep unused.
+    /// From the leader to a router: how much of its unused tokens it may keep.
     Recall(Vec<(TenantName, Tokens)>),
-    /// From the leader to all routers: budgets that are going to run out.
+    /// From the leader to all routers: forecasts for budgets that are going to run out.
     Forecasts(BTreeMap<TenantName, BudgetForecast>),
-    /// From a router that stops: what it has spent of each tenant's budget.
+    /// From a stopping router: what it has spent of each tenant's budget.
     FinalUsage(BTreeMap<TenantName, Tokens>),
-    /// Answer to `FinalUsage` and `RelayedFinalUsage`: it will reach the ledger.
+    /// Acknowledges `FinalUsage` or `RelayedFinalUsage`: the usage will be applied to the ledger.
     FinalUsageAck,
-    /// From a router that stops out of touch to another one, and from that one to the leader: what
-    /// the first has spent.
+    /// From a router that stops while disconnected from the leader to another one, and from that
+    /// one to the leader: what the first router has spent.
     RelayedFinalUsage(NodeId, BTreeMap<TenantName, Tokens>),
-    /// From a router to another one: reserve tokens in your wallet for a request of mine.
+    /// From a router to another one: asks it to reserve tokens of its own for a request of the
+    /// sender.
     Borrow {
-        /// Names the loan.
+        /// Identifies the loan.
         token: u64,
-        /// The tenant.
+        /// The tenant whose budget is used.
         tenant: TenantName,
-        /// How many tokens.
+        /// Number of tokens.
         amount: Tokens,
-        /// How long the answer may take.
+        /// Time within which the reply must arrive.
         wait: Millis,
     },
-    /// Answer to `Borrow`.
+    /// Reply to `Borrow`.
     BorrowReply {
-        /// Names the loan.
+        /// Identifies the loan.
         token: u64,
         /// Whether the tokens are reserved.
         answer: BorrowAnswer,
     },
-    /// From the borrower: the request has ended.
+    /// From the borrower: the request has finished.
     SettleLoan {
-        /// Names the loan.
+        /// Identifies the loan.
         token: u64,
-        /// What it used.
+        /// Tokens that the request used.
         used: Tokens,
     },
-    /// Between routers that have a connection: I am here.
+    /// Between connected routers: keeps the connection open.
     KeepAlive,
-    /// From a router to the leader: engines that ended under requests, and suspected requests that ended
-    /// well.
+    /// From a router to the leader: engines that crashed under requests, and suspected requests
+    /// that completed.
     CrashReport(CrashReport),
-    /// From control to a router: requests that are let in no more.
+    /// From a control process to a router: quarantined requests, which are not admitted.
     Quarantined(QuarantineNotice),
-    /// From control to a router: where other routers accept connections of the fleet.
+    /// From a control process to a router: addresses at which other routers accept connections of
+    /// the fleet.
     Routers {
-        /// Rises with each change.
+        /// Increases with each change.
         version: u64,
-        /// Every router that the control process hears, by zone.
+        /// Every router connected to the control process, by zone.
         all: Vec<ZoneRouters>,
-        /// The ones to exchange loads and loans with.
+        /// The routers with which to exchange loads and loans.
         peers: Vec<SocketAddr>,
     },
-    /// From control to a router: which engines have said that they leave, as it is written down.
+    /// From a control process: committed departures of engines.
     Departures(DepartureDelta),
-    /// From a control replica to routers: engines that have not been announced for so long that they are forgotten.
+    /// From a control process to routers: engines that were evicted after a long silence.
     ExpiredEngines(Vec<BackEndName>),
-    /// From a control replica to the leader: what engines have said of their end, to be written down.
+    /// From a control process to the leader: departures of engines to be committed.
     DepartureNotices(Vec<DepartureRecord>),
 }
--- a/crates/coordinator/src/packed_document.rs
+++ b/crates/coordinator/src/packed_document.rs
@@ -1,8 +1,9 @@
-//! A whole configuration on its way to a router.
+//! A full configuration, compressed for sending to a router.
 //!
-//! After a loss of power every router needs the whole configuration from one leader at once.
-//! Configurations are repetitive text, so they travel compressed: otherwise they fill the leader's
-//! link for seconds, and its heartbeats wait behind them until it is deposed.
+//! After a power loss every router needs the full configuration from one leader at once.
+//! Configurations are repetitive text, so they are sent compressed: uncompressed they would fill
+//! the leader's network link for seconds, and its heartbeats would queue behind them until it loses
+//! its leadership.
 
 use crate::message::Document;
 use flate2::Compression;
@@ -11,10 +12,10 @@
 use std::io::{self, Read};
 use std::sync::Arc;
 
-/// Most bytes that a document may unpack to.
+/// Maximum length of a decompressed document in bytes.
 const MAX_DOCUMENT_BYTES: u64 = 32 * 1024 * 1024;
 
-/// A document, compressed.
+/// A compressed document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PackedDocument {
     /// Version of the document.
@@ -28,23 +29,23 @@
         let mut packed = Vec::new();
         DeflateEncoder::new(&document.bytes[..], Compression::fast())
             .read_to_end(&mut packed)
-            .expect("memory can be read");
+            .expect("reading from memory does not fail");
         Self { version: document.version, packed: packed.into() }
     }
 
-    /// The document, byte for byte. Fails if the bytes are damaged or unpack to too many.
+    /// Decompresses the document. Fails if the bytes are damaged or decompress to more than 32 MiB.
     pub fn unpack(&self) -> io::Result<Document> {
         let mut bytes = Vec::new();
         DeflateDecoder::new(&self.packed[..])
             .take(MAX_DOCUMENT_BYTES + 1)
             .read_to_end(&mut bytes)?;
         if bytes.len() as u64 > MAX_DOCUMENT_BYTES {
-            return Err(io::Error::other("the document unpacks to too many bytes"));
+            return Err(io::Error::other("document is larger than 32 MiB when decompressed"));
         }
         Ok(Document { version: self.version, bytes: bytes.into() })
     }
 
-    /// Bytes that travel.
+    /// Compressed length in bytes.
     pub fn packed_len(&self) -> usize {
         self.packed.len()
     }
--- a/crates/coordinator/src/prepaid_planner.rs
+++ b/crates/coordinator/src/prepaid_planner.rs
@@ -1,4 +1,5 @@
-//! The leader's view of the routers' accounts, and what follows from it.
+//! Plans changes of the prepaid ledger from the routers' reports: grants, recalls, returns,
+//! contacts and the closing of ended router incarnations.
 
 use crate::message::{ClockEcho, RouterStatus};
 use crate::state::{Command, RouterContact};
@@ -9,25 +10,25 @@
 use stackpost_types::{Millis, NodeId, TenantName, Timestamp, Tokens};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Time between two rounds while no request waits.
+/// Time between two planning rounds while no request waits for tokens.
 const ROUND_INTERVAL: Millis = Millis(250);
-/// Time between two records of when a router was last in touch.
+/// Time between two records of router contacts in the log.
 const CONTACT_INTERVAL: Millis = Millis(400);
-/// A router that has been silent for so long is not planned for.
-const REPORT_LIMIT: Millis = Millis(1_500);
-/// A new leader listens for so long before it hands out anything.
-const SETTLE_TIME: Millis = Millis(250);
-/// A proposal that has not been applied for so long is given up.
-const PROPOSAL_LIMIT: Millis = Millis(1_500);
-/// Least time between two words to the routers about which budgets run out.
-const OUTLOOK_INTERVAL: Millis = Millis(500);
+/// A router whose last report is older than this is left out of the plan.
+const REPORT_MAX_AGE: Millis = Millis(1_500);
+/// A new leader gathers reports for this long before it grants tokens.
+const REPORT_GATHERING_TIME: Millis = Millis(250);
+/// A proposal that has not been applied within this time is considered lost.
+const PROPOSAL_TIMEOUT: Millis = Millis(1_500);
+/// Shortest time between two forecasts sent to the routers.
+const FORECAST_INTERVAL: Millis = Millis(500);
 
 /// Least time between two log lines about the same short budget.
-const SHORT_LOGGED_EVERY: Millis = Millis(1_000);
+const SHORTAGE_LOG_INTERVAL: Millis = Millis(1_000);
 
-/// A new life of a machine is seen for so long before earlier ones are charged: what they have
-/// left with other routers may still be on its way.
-const CUSTODY_TIME: Millis = Millis(700);
+/// Time for which a new incarnation of a machine must have reported before earlier ones are
+/// charged: final usage that they have left with other routers may still be in transit.
+const CLOSE_DELAY: Millis = Millis(700);
 
 struct RouterView {
     first_seen: Timestamp,
@@ -48,21 +49,21 @@
     }
 }
 
-/// Gathers the routers' reports and plans rounds.
+/// Collects the routers' reports and plans the leader's rounds.
 #[derive(Default)]
 pub(crate) struct PrepaidPlanner {
     routers: BTreeMap<NodeId, RouterView>,
-    /// When router lives last heard this replica, those among them that may have ended since.
-    /// Kept by followers, too, so that a new leader knows.
+    /// When router incarnations last received a status of this replica, including incarnations that
+    /// may have ended since. Kept by followers too, so that a new leader knows them.
     echoes: BTreeMap<NodeId, ClockEcho>,
-    /// When earlier lives had certainly ended, by the clocks of their machines.
+    /// Latest possible end of earlier incarnations, by the clocks of their machines.
     ended: BTreeMap<NodeId, BootTimestamp>,
     final_usages: BTreeMap<NodeId, BTreeMap<TenantName, Tokens>>,
     recalls: BTreeMap<NodeId, Vec<(TenantName, Tokens)>>,
     scarce_limiter: ScarceBudgetLimiter,
     forecasts: BTreeMap<TenantName, BudgetForecast>,
-    outlooks_told_at: Option<Timestamp>,
-    short_logged_at: BTreeMap<TenantName, Timestamp>,
+    forecasts_sent_at: Option<Timestamp>,
+    shortage_logged_at: BTreeMap<TenantName, Timestamp>,
     urgent: bool,
     round_at: Timestamp,
     planned_at: Option<Timestamp>,
@@ -71,15 +72,16 @@
 }
 
 impl PrepaidPlanner {
-    /// A new leader begins with an empty view; a former one forgets its own.
+    /// Clears everything but the echoes and ends when this replica becomes the leader or stops
+    /// being it.
     pub fn on_role_change(&mut self, now: Timestamp) {
         let echoes = std::mem::take(&mut self.echoes);
         let ended = std::mem::take(&mut self.ended);
-        *self = Self { round_at: now + SETTLE_TIME, echoes, ended, ..Self::default() };
+        *self = Self { round_at: now + REPORT_GATHERING_TIME, echoes, ended, ..Self::default() };
     }
 
-    /// Takes in when a router last heard this replica. The first echo of a new life ends the
-    /// earlier ones on its machine.
+    /// Records when a router last received a status of this replica. The first echo of a new
+    /// incarnation bounds the end of the earlier ones on its machine.
     pub fn on_echo(&mut self, now: Timestamp, router: &NodeId, echo: ClockEcho) {
         if self.echoes.insert(router.clone(), echo).is_some() {
             return;
@@ -95,7 +97,7 @@
         }
     }
 
-    /// Takes in a router's report.
+    /// Records a router's report.
     pub fn on_report(&mut self, now: Timestamp, router: &NodeId, status: RouterStatus) {
         self.urgent |= status.accounts.iter().any(|(_, account)| !account.wanted.is_zero());
         if !self.routers.contains_key(router) {
@@ -109,7 +111,7 @@
             accounts: BTreeMap::new(),
         });
         view.reported_at = now;
-        // What is given back may be just what a request elsewhere waits for.
+        // Returned tokens may be what a request at another router waits for.
         self.urgent |= status.accounts.iter().any(|(tenant, account)| {
             let known = view.accounts.get(tenant).copied().unwrap_or_default();
             account.returned > known.returned || account.released > known.released
@@ -120,22 +122,23 @@
         }
     }
 
-    /// Takes in a router's farewell.
+    /// Records a stopping router's final usage.
     pub fn on_final_usage(&mut self, router: &NodeId, spent: BTreeMap<TenantName, Tokens>) {
         self.final_usages.insert(router.clone(), spent);
     }
 
-    /// Notes that what was planned has been proposed as the entry at `index`.
+    /// Records that a planned command was proposed as the entry at `index`.
     pub fn on_proposed(&mut self, now: Timestamp, index: u64) {
         self.proposed = Some((index, now));
     }
 
-    /// The commands of a round; none if it is too early or the last round is under way.
+    /// Plans a round and returns its commands; none if it is too early or the last round is not
+    /// applied yet.
     pub fn plan(&mut self, now: Timestamp, ledger: &PrepaidLedger) -> Vec<Command> {
-        let under_way = self.proposed.is_some_and(|(_, at)| now.since(at) < PROPOSAL_LIMIT);
-        let settled = self.round_at.0 <= now.0 + ROUND_INTERVAL.0;
-        let due = now >= self.round_at || (self.urgent && settled);
-        if under_way || !due {
+        let is_pending = self.proposed.is_some_and(|(_, at)| now.since(at) < PROPOSAL_TIMEOUT);
+        let is_settled = self.round_at.0 <= now.0 + ROUND_INTERVAL.0;
+        let is_due = now >= self.round_at || (self.urgent && is_settled);
+        if is_pending || !is_due {
             return Vec::new();
         }
         self.urgent = false;
@@ -143,8 +146,8 @@
         self.planned_at = Some(now);
         self.round_at = now + ROUND_INTERVAL;
         self.proposed = None;
-        let mut commands = self.closings(now, ledger);
-        self.routers.retain(|_, view| now.since(view.reported_at) < REPORT_LIMIT);
+        let mut commands = self.close_ended_incarnations(now, ledger);
+        self.routers.retain(|_, view| now.since(view.reported_at) < REPORT_MAX_AGE);
         let reports: BTreeMap<NodeId, BTreeMap<TenantName, AccountReport>> = self
             .routers
             .iter()
@@ -158,7 +161,7 @@
             of_router.push((recall.tenant, recall.keep));
         }
         self.forecasts = plan.forecasts;
-        self.log_short(now, &plan.shortages);
+        self.log_shortages(now, &plan.shortages);
         if !plan.grants.is_empty() {
             commands.push(Command::Grant(plan.grants));
         }
@@ -166,14 +169,14 @@
         commands
     }
 
-    /// Says which budgets routers want more of, each now and then.
-    fn log_short(&mut self, now: Timestamp, shortages: &[BudgetShortage]) {
-        self.short_logged_at.retain(|_, at| now.since(*at) < SHORT_LOGGED_EVERY);
+    /// Logs the budgets that do not cover the routers' demand, each at a limited rate.
+    fn log_shortages(&mut self, now: Timestamp, shortages: &[BudgetShortage]) {
+        self.shortage_logged_at.retain(|_, at| now.since(*at) < SHORTAGE_LOG_INTERVAL);
         for budget in shortages {
-            if self.short_logged_at.contains_key(&budget.tenant) {
+            if self.shortage_logged_at.contains_key(&budget.tenant) {
                 continue;
             }
-            self.short_logged_at.insert(budget.tenant.clone(), now);
+            self.shortage_logged_at.insert(budget.tenant.clone(), now);
             log::info!(
                 tenant = budget.tenant.as_str(),
                 limit = budget.limit.0,
@@ -185,24 +188,25 @@
         }
     }
 
-    /// Recalls that were planned.
+    /// Takes the planned recalls.
     pub fn take_recalls(&mut self) -> BTreeMap<NodeId, Vec<(TenantName, Tokens)>> {
         std::mem::take(&mut self.recalls)
     }
 
-    /// Budgets that are going to run out, if the routers should be told.
+    /// The forecasts for budgets that are going to run out; `None` if they were sent recently.
     pub fn take_forecasts(
         &mut self,
         now: Timestamp,
     ) -> Option<BTreeMap<TenantName, BudgetForecast>> {
-        if self.outlooks_told_at.is_some_and(|at| now.since(at) < OUTLOOK_INTERVAL) {
+        if self.forecasts_sent_at.is_some_and(|at| now.since(at) < FORECAST_INTERVAL) {
             return None;
         }
-        self.outlooks_told_at = Some(now);
+        self.forecasts_sent_at = Some(now);
         Some(self.forecasts.clone())
     }
 
-    /// Routers whose allotments a command changes. Also ends the wait for the round.
+    /// Routers whose allotments the applied command changes. Also records that a proposed round is
+    /// applied.
     pub fn affected_routers(&mut self, index: u64, command: &Command) -> BTreeSet<NodeId> {
         if self.proposed.is_some_and(|(last, _)| last <= index) {
             self.proposed = None;
@@ -213,8 +217,9 @@
         }
     }
 
-    /// Router lives that have ended: those that said so and those whose machine runs another one.
-    fn closings(&mut self, now: Timestamp, ledger: &PrepaidLedger) -> Vec<Command> {
+    /// Closes router incarnations that have ended: those that reported their final usage, and those
+    /// whose machine runs a newer incarnation.
+    fn close_ended_incarnations(&mut self, now: Timestamp, ledger: &PrepaidLedger) -> Vec<Command> {
         let mut commands = Vec::new();
         for (router, spent) in std::mem::take(&mut self.final_usages) {
             self.routers.remove(&router);
@@ -224,11 +229,11 @@
             commands.push(Command::CloseRouter { router, end: IncarnationEnd::Reported(spent) });
         }
         for (successor, view) in &self.routers {
-            if now.since(view.first_seen) < CUSTODY_TIME {
+            if now.since(view.first_seen) < CLOSE_DELAY {
                 continue;
             }
             for router in ledger.earlier_incarnations(successor) {
-                let end = end_of_life(ledger, &router, self.ended.get(&router), view);
+                let end = incarnation_end(ledger, &router, self.ended.get(&router), view);
                 log::info!(router = router.to_string().as_str(); "router life ended: {end:?}");
                 self.scarce_limiter.on_router_lost(now, router.machine.clone());
                 commands.push(Command::CloseRouter { router, end });
@@ -236,12 +241,13 @@
         }
         let routers = self.routers.len();
         if let Some(lost) = self.scarce_limiter.open_guard_after_loss(now, routers) {
-            log::info!(lost = lost, routers = routers; "routers were lost together, the ends of budgets are open");
+            log::info!(lost = lost, routers = routers; "routers were lost together: withheld last parts of budgets may be spent");
         }
         commands
     }
 
-    /// Contacts that the ledger should know, now and then: those of routers that hold something.
+    /// At regular intervals, the contacts of routers that hold tokens, to be recorded in the
+    /// ledger.
     fn new_contacts(&mut self, now: Timestamp, ledger: &PrepaidLedger) -> Option<Command> {
         if now < self.contacts_at {
             return None;
@@ -254,9 +260,9 @@
     }
 }
 
-/// When a router life had certainly ended: before its successor's process started, and before this
-/// replica first heard of the successor.
-fn end_of_life(
+/// Latest possible end of a router incarnation: the start of its successor's process or this
+/// replica's first contact with the successor, whichever is earlier.
+fn incarnation_end(
     ledger: &PrepaidLedger,
     router: &NodeId,
     by_echo: Option<&BootTimestamp>,
@@ -274,7 +280,7 @@
     }
 }
 
-/// What routers have given back and the ledger does not know yet.
+/// Returned and released tokens that the ledger does not know yet.
 fn returns(
     ledger: &PrepaidLedger,
     reports: &BTreeMap<NodeId, BTreeMap<TenantName, AccountReport>>,
--- a/crates/coordinator/src/replica.rs
+++ b/crates/coordinator/src/replica.rs
@@ -1,7 +1,7 @@
-//! One control replica without sockets: the replicated log, its disk and the state.
+//! One control replica without sockets: the replicated log, its storage and the state.
 //!
-//! `handle` takes one event and returns what is to be done. Everything that must survive is synced
-//! before the effects that promise it are returned.
+//! `handle` processes events and returns the effects to carry out. Everything that must survive a
+//! crash is synced before the effects that depend on it are returned.
 
 use crate::crash_watch::CrashWatch;
 use crate::departure_watch::DepartureWatch;
@@ -19,12 +19,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Entries after which the log is replaced by a snapshot.
+/// Number of entries after which the log is compacted into a snapshot.
 const SNAPSHOT_ENTRIES: u64 = 400;
-/// Longest wait for a change or a read before it is answered as unconfirmed.
-const REPLY_LIMIT: Millis = Millis(900);
-/// A read that could not be confirmed is asked again after so long.
-const ROUND_LIMIT: Millis = Millis(200);
+/// Time after which a put or a read gets the reply `Unconfirmed`.
+const REPLY_TIMEOUT: Millis = Millis(900);
+/// Time after which the confirmation of a read is requested again.
+const READ_RETRY_INTERVAL: Millis = Millis(200);
 
 struct PendingPut {
     token: u64,
@@ -36,10 +36,10 @@
 struct PendingRead {
     context: u64,
     since: Timestamp,
-    asked_at: Timestamp,
+    requested_at: Timestamp,
 }
 
-/// One replica over a disk.
+/// One replica with its storage on a disk.
 pub struct Replica<D> {
     config: ReplicaConfig,
     raft: Raft,
@@ -52,17 +52,17 @@
     planner: PrepaidPlanner,
     crash_watch: CrashWatch,
     departure_watch: DepartureWatch,
-    /// The control machines that are connected, with their zones.
+    /// The connected control machines with their zones.
     control_peers: BTreeMap<MachineName, ZoneName>,
-    /// The zones of control machines that are connected or have been.
-    zones_seen: BTreeMap<MachineName, ZoneName>,
+    /// The zones of control machines that are or have been connected.
+    known_zones: BTreeMap<MachineName, ZoneName>,
     was_leading: bool,
     replica_logger: ReplicaLogger,
     effects: Vec<ReplicaEffect>,
 }
 
 impl<D: Disk> Replica<D> {
-    /// Opens the data folder, or makes it.
+    /// Opens the data folder or creates it.
     pub fn open(config: ReplicaConfig, disk: D, now: Timestamp) -> Result<Self, ReplicaError> {
         let disk_was_empty = !LogStore::exists(&disk).map_err(ReplicaError::Store)?;
         let (store, restored) = open_store(&config, disk)?;
@@ -70,7 +70,8 @@
         let raft_config = Config {
             name: config.name.clone(),
             identity: store.identity(),
-            // The founders' snapshot names them; whoever joins later learns of them from the leader.
+            // The initial snapshot names the voters; a machine that joins later receives them from
+            // the leader.
             initial_voters: Voters::new(),
             election_timeout: config.election_timeout,
             heartbeat_interval: config.heartbeat_interval,
@@ -95,27 +96,27 @@
             crash_watch: CrashWatch::default(),
             departure_watch: DepartureWatch::default(),
             control_peers: BTreeMap::new(),
-            zones_seen: BTreeMap::new(),
+            known_zones: BTreeMap::new(),
             was_leading: false,
             effects: Vec::new(),
         })
     }
 
-    /// Takes in events. After an error the replica must be opened anew: what the disk holds is not
-    /// known any more.
+    /// Processes events. After an error the replica must be reopened, because the content of the
+    /// disk is no longer known.
     pub fn handle(
         &mut self,
         now: Timestamp,
         events: impl IntoIterator<Item = ReplicaEvent>,
     ) -> Result<Vec<ReplicaEffect>, ReplicaError> {
         for event in events {
-            self.take_in(now, event);
+            self.handle_event(now, event);
         }
         self.drive(now)?;
         Ok(std::mem::take(&mut self.effects))
     }
 
-    fn take_in(&mut self, now: Timestamp, event: ReplicaEvent) {
+    fn handle_event(&mut self, now: Timestamp, event: ReplicaEvent) {
         match event {
             ReplicaEvent::Tick => self.tick(now),
             ReplicaEvent::Raft(envelope) => self.raft.step(now, envelope),
@@ -135,9 +136,9 @@
             }
             ReplicaEvent::CrashReport(change) => self.on_crash_report(now, change),
             ReplicaEvent::EngineAnnounced(engine) => self.on_announced(now, engine),
-            ReplicaEvent::DepartureNotices(words) => self.on_departure_words(now, words),
+            ReplicaEvent::DepartureNotices(records) => self.on_departure_notices(now, records),
             ReplicaEvent::ControlPeers(machines) => {
-                self.zones_seen.extend(machines.clone());
+                self.known_zones.extend(machines.clone());
                 self.control_peers = machines;
             }
         }
@@ -148,7 +149,7 @@
         &self.state
     }
 
-    /// Whether this replica leads and no other can have been elected since.
+    /// Whether this replica is the leader and no other can have been elected since.
     pub fn leads(&self, now: Timestamp) -> bool {
         self.lease_until().is_some_and(|until| now < until)
     }
@@ -173,7 +174,7 @@
         self.raft.leader()
     }
 
-    /// Whether the others count this replica under its present identity.
+    /// Whether this replica votes under its current identity.
     pub fn is_voter(&self) -> bool {
         self.raft.is_voter()
     }
@@ -185,7 +186,7 @@
 
     fn tick(&mut self, now: Timestamp) {
         self.raft.tick(now);
-        self.answer_overdue(now);
+        self.reply_to_overdue(now);
         if self.raft.role() == Role::Leader {
             self.plan_prepaid(now);
             self.plan_voters(now);
@@ -193,8 +194,8 @@
         if self.leads(now) {
             let changes = self.crash_watch.on_tick(now, &self.state.quarantine);
             changes.into_iter().for_each(|change| self.propose_quarantine(change));
-            let forgotten = self.departure_watch.on_tick(now, &self.state.departures);
-            forgotten.into_iter().for_each(|change| self.propose_departures(change));
+            let expired = self.departure_watch.on_tick(now, &self.state.departures);
+            expired.into_iter().for_each(|change| self.propose_departures(change));
         }
     }
 
@@ -214,10 +215,10 @@
         }
     }
 
-    fn on_departure_words(&mut self, now: Timestamp, words: Vec<DepartureRecord>) {
+    fn on_departure_notices(&mut self, now: Timestamp, records: Vec<DepartureRecord>) {
         if self.raft.role() == Role::Leader
             && let Some(change) =
-                self.departure_watch.on_notices(now, &self.state.departures, words)
+                self.departure_watch.on_notices(now, &self.state.departures, records)
         {
             self.propose_departures(change);
         }
@@ -225,13 +226,13 @@
 
     fn propose_departures(&mut self, change: DepartureChange) {
         if self.propose(&Command::Departures(change)).is_none() {
-            log::info!(step = "departures"; "not proposed: another replica leads");
+            log::info!(step = "departures"; "departure change not proposed: another replica leads");
         }
     }
 
     fn propose_quarantine(&mut self, change: QuarantineChange) {
         if self.propose(&Command::Quarantine(change)).is_none() {
-            log::info!(step = "quarantine"; "not proposed: another replica leads");
+            log::info!(step = "quarantine"; "quarantine change not proposed: another replica leads");
         }
     }
 
@@ -241,8 +242,8 @@
             Ok(config) => config,
             Err(error) => return self.reply_put(token, PutReply::Invalid(error.to_string())),
         };
-        // What is in force here has been committed, so a version that is not above it changes
-        // nothing, whoever leads.
+        // The configuration in force here is committed, so a version that is not above it changes
+        // nothing, whichever replica leads.
         if self.state.document.is_some() && config.version <= self.state.document_version() {
             return self.reply_put(token, PutReply::Accepted);
         }
@@ -262,9 +263,9 @@
         }
         let context = self.next_context;
         self.next_context += 1;
-        // A leader that has not committed anything yet is asked again at the next tick.
+        // A leader that has not committed an entry of its term fails here; a later tick retries.
         let _ = self.raft.read_index(context);
-        self.reads.insert(token, PendingRead { context, since: now, asked_at: now });
+        self.reads.insert(token, PendingRead { context, since: now, requested_at: now });
     }
 
     fn reply_put(&mut self, token: u64, reply: PutReply) {
@@ -276,8 +277,8 @@
         self.raft.propose(data).ok()
     }
 
-    fn answer_overdue(&mut self, now: Timestamp) {
-        let overdue = |since: Timestamp| now.since(since) > REPLY_LIMIT;
+    fn reply_to_overdue(&mut self, now: Timestamp) {
+        let overdue = |since: Timestamp| now.since(since) > REPLY_TIMEOUT;
         let leading = self.raft.role() == Role::Leader;
         let puts = std::mem::take(&mut self.puts);
         for put in puts {
@@ -291,16 +292,16 @@
             if overdue(read.since) || !leading {
                 self.effects.push(ReplicaEffect::ReadReply(token, ReadReply::Unconfirmed));
             } else {
-                let read = self.ask_again(now, read);
+                let read = self.retry_read(now, read);
                 self.reads.insert(token, read);
             }
         }
     }
 
-    fn ask_again(&mut self, now: Timestamp, mut read: PendingRead) -> PendingRead {
-        if now.since(read.asked_at) > ROUND_LIMIT {
-            read.asked_at = now;
-            // It fails only if this replica leads no more, which the next tick notices.
+    fn retry_read(&mut self, now: Timestamp, mut read: PendingRead) -> PendingRead {
+        if now.since(read.requested_at) > READ_RETRY_INTERVAL {
+            read.requested_at = now;
+            // This fails only if this replica is no longer the leader, which the next tick handles.
             let _ = self.raft.read_index(read.context);
         }
         read
@@ -335,7 +336,7 @@
             VoterStep::Remove(machine) => voters.remove(&machine),
         };
         if let Err(error) = self.raft.propose_voters(voters) {
-            log::warn!(step = "membership"; "the voters stay as they are: {error}");
+            log::warn!(step = "membership"; "voters not changed: {error}");
         }
     }
 
@@ -373,10 +374,10 @@
             };
         }
         let time_since_contact = self.raft.time_since_contact(machine).unwrap_or(Millis(0));
-        VoterStatus { time_since_contact, zone: self.zones_seen.get(machine).cloned() }
+        VoterStatus { time_since_contact, zone: self.known_zones.get(machine).cloned() }
     }
 
-    /// Carries out what the log asks for until it asks for nothing more.
+    /// Carries out the log's requested work until there is none left.
     fn drive(&mut self, now: Timestamp) -> Result<(), ReplicaError> {
         loop {
             let ready = self.raft.ready();
@@ -442,7 +443,7 @@
             return Ok(());
         };
         let command = read_command(entry.index, bytes)?;
-        let touched = self.planner.affected_routers(entry.index, &command);
+        let affected = self.planner.affected_routers(entry.index, &command);
         let closed = match &command {
             Command::CloseRouter { router, .. } => Some(router.clone()),
             _ => None,
@@ -459,32 +460,32 @@
         if outcome == ApplyOutcome::DeparturesChanged {
             self.effects.push(ReplicaEffect::DeparturesChanged);
         }
-        self.answer_puts(&entry);
-        self.notify_routers(touched, closed);
+        self.reply_to_puts(&entry);
+        self.notify_routers(affected, closed);
         if entry.index - self.raft.snapshot_index() >= SNAPSHOT_ENTRIES {
             self.take_snapshot(entry.index)?;
         }
         Ok(())
     }
 
-    fn answer_puts(&mut self, entry: &Entry) {
+    fn reply_to_puts(&mut self, entry: &Entry) {
         for put in std::mem::take(&mut self.puts) {
             if put.index > entry.index {
                 self.puts.push(put);
                 continue;
             }
-            let kept = put.index == entry.index && put.term == entry.term;
-            // Another leader's entry may have taken its place.
-            let reply = if kept { PutReply::Accepted } else { PutReply::Unconfirmed };
+            let is_own_entry = put.index == entry.index && put.term == entry.term;
+            // An entry of another leader may have replaced the proposed one.
+            let reply = if is_own_entry { PutReply::Accepted } else { PutReply::Unconfirmed };
             self.reply_put(put.token, reply);
         }
     }
 
-    fn notify_routers(&mut self, touched: BTreeSet<NodeId>, closed: Option<NodeId>) {
+    fn notify_routers(&mut self, affected: BTreeSet<NodeId>, closed: Option<NodeId>) {
         if self.raft.role() != Role::Leader {
             return;
         }
-        for router in touched {
+        for router in affected {
             let totals = self.state.ledger.allotments(&router);
             self.effects.push(ReplicaEffect::Allotments(router, totals));
         }
--- a/crates/coordinator/src/replica_api.rs
+++ b/crates/coordinator/src/replica_api.rs
@@ -1,4 +1,4 @@
-//! What goes into a replica and what comes out of it.
+//! Events, effects, settings and errors of a replica.
 
 use crate::DocumentCodec;
 use crate::message::{Document, RouterStatus};
@@ -11,50 +11,50 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// How a replica is run.
+/// Settings of a replica.
 #[derive(Clone)]
 pub struct ReplicaConfig {
-    /// This machine.
+    /// Name of this machine.
     pub name: MachineName,
     /// The voters of a new fleet; `None` unless the whole fleet starts for the first time.
     pub initial_voters: Option<Vec<MachineName>>,
-    /// Identity for a data folder that has to be made.
+    /// Identity of the data folder if it has to be created.
     pub new_identity: u64,
-    /// Shortest silence of the leader before a campaign.
+    /// Shortest time without a message of the leader before a campaign.
     pub election_timeout: Millis,
     /// Time between two heartbeats.
     pub heartbeat_interval: Millis,
-    /// Taken off a lease's end for clocks that run at different speeds.
+    /// Subtracted from the end of a lease, since clocks may run at different speeds.
     pub lease_margin: Millis,
-    /// Voters wanted.
+    /// Number of voters to maintain.
     pub target_voters: usize,
-    /// The zone that this machine stands in.
+    /// The zone of this machine.
     pub zone: ZoneName,
-    /// Zones of the fleet.
+    /// Number of zones of the fleet.
     pub zones: usize,
-    /// Seed for election timeouts.
+    /// Seed of the random election timeouts.
     pub seed: u64,
-    /// Reads documents.
+    /// Decodes configuration documents.
     pub codec: Arc<dyn DocumentCodec>,
 }
 
-/// Why a replica can't go on.
+/// Reason for which a replica can't continue.
 #[derive(Debug, Error)]
 pub enum ReplicaError {
     /// The data folder can't be read or written.
     #[error(transparent)]
     Store(#[from] StoreError),
-    /// What was stored can't be understood.
-    #[error("storage: entry {index} or the snapshot before it can't be read: {reason}")]
+    /// A stored log entry or snapshot can't be decoded.
+    #[error("storage: log entry or snapshot at index {index} can't be decoded: {reason}")]
     Unreadable {
         /// Position in the log.
         index: u64,
-        /// What is wrong.
+        /// Why decoding failed.
         reason: String,
     },
 }
 
-/// Something happened.
+/// An event handled by a replica.
 #[derive(Debug)]
 pub enum ReplicaEvent {
     /// Time has passed.
@@ -63,86 +63,86 @@
     Raft(Envelope),
     /// An operator sends a configuration.
     Put {
-        /// Names the answer.
+        /// Identifies the reply.
         token: u64,
-        /// The document as it came.
+        /// The document as it was received.
         bytes: Arc<[u8]>,
     },
     /// An operator reads the configuration.
     Read {
-        /// Names the answer.
+        /// Identifies the reply.
         token: u64,
     },
-    /// A router has reported.
+    /// A router has sent its status.
     RouterReport {
         /// The router.
         router: NodeId,
-        /// What it says.
+        /// Its status.
         status: RouterStatus,
     },
-    /// A router stops and says what it has spent.
+    /// A stopping router has reported its final usage.
     RouterFinalUsage {
         /// The router.
         router: NodeId,
-        /// What it has spent.
+        /// Tokens it has spent of each tenant's budget.
         spent: BTreeMap<TenantName, Tokens>,
     },
-    /// A router has seen engines end under requests, or suspected requests end well.
+    /// A router has seen engines crash under requests, or suspected requests complete.
     CrashReport(QuarantineChange),
-    /// An engine has announced itself that is said to have ended.
+    /// An engine with crash sightings has announced itself.
     EngineAnnounced(BackEndName),
-    /// What engines have said of their end is to be written down.
+    /// Departures of engines to be committed.
     DepartureNotices(Vec<DepartureRecord>),
     /// The control machines that are connected now, with their zones.
     ControlPeers(BTreeMap<MachineName, ZoneName>),
 }
 
-/// Answer to a `Put`.
+/// Reply to a `Put`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PutReply {
-    /// It is in force, or a higher version is.
+    /// The document, or one with a higher version, is in force.
     Accepted,
-    /// It is not valid and was not taken.
+    /// The document is invalid and was rejected.
     Invalid(String),
-    /// Another machine leads.
+    /// Another machine leads; its name, if known.
     NotLeader(Option<MachineName>),
-    /// It may or may not be taken.
+    /// The document may or may not come into force.
     Unconfirmed,
 }
 
-/// Answer to a `Read`.
+/// Reply to a `Read`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReadReply {
-    /// The newest configuration.
+    /// The latest configuration.
     Latest(Option<Document>),
-    /// Another machine leads.
+    /// Another machine leads; its name, if known.
     NotLeader(Option<MachineName>),
-    /// This replica can't be sure.
+    /// This replica could not confirm that it leads.
     Unconfirmed,
 }
 
-/// Something to do.
+/// An action that a replica requests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ReplicaEffect {
     /// Send a message of the replicated log.
     SendRaft(MachineName, Envelope),
-    /// Answer a `Put`.
+    /// Reply to a `Put`.
     PutReply(u64, PutReply),
-    /// Answer a `Read`.
+    /// Reply to a `Read`.
     ReadReply(u64, ReadReply),
     /// A newer configuration is in force.
     DocumentChanged(Document),
-    /// Tell a router its totals.
+    /// Send a router the totals of its allotments.
     Allotments(NodeId, Vec<(TenantName, Allotment)>),
-    /// Ask a router to give back.
+    /// Ask a router to return tokens above these amounts.
     Recall(NodeId, Vec<(TenantName, Tokens)>),
-    /// Tell all routers which budgets are going to run out.
+    /// Send all routers the forecasts for budgets that are going to run out.
     Forecasts(BTreeMap<TenantName, BudgetForecast>),
-    /// Tell a router that its life is closed.
+    /// Confirm to a router that its incarnation is closed.
     FinalUsageAck(NodeId),
-    /// Routers are to be told which requests are let in no more.
+    /// The set of quarantined requests has changed.
     QuarantineChanged,
-    /// Engines have said something new of their end.
+    /// The engines' departures have changed.
     DeparturesChanged,
     /// The role has changed; true for a leader.
     RoleChanged(bool),
--- a/crates/coordinator/src/replica_bootstrap.rs
+++ b/crates/coordinator/src/replica_bootstrap.rs
@@ -1,14 +1,14 @@
-//! Opening a replica's data folder, or making it.
+//! Opens or creates a replica's data folder.
 
 use crate::replica_api::{ReplicaConfig, ReplicaError};
 use crate::state::{Command, FleetState};
 use stackpost_consensus::{HardState, INITIAL_IDENTITY, LogIndex, RestoredState, Snapshot, Voters};
 use stackpost_storage::{Disk, LogStore};
 
-/// Term and index of the state that a new fleet begins with.
-const FOUNDING: u64 = 1;
+/// Term and index of a new fleet's initial snapshot.
+const INITIAL_POSITION: u64 = 1;
 
-/// The store of a replica and what it holds.
+/// Opens or creates the store of a replica and returns the state it holds.
 pub(crate) fn open_store<D: Disk>(
     config: &ReplicaConfig,
     disk: D,
@@ -24,15 +24,17 @@
         return Ok((store, RestoredState::default()));
     }
     let mut store = LogStore::create(disk, INITIAL_IDENTITY)?;
-    // Every founder begins with the same state, so that no entry has to carry it.
+    // Every initial voter starts from the same snapshot, so no log entry has to carry the initial
+    // state.
     let data = FleetState::default().to_snapshot();
-    let snapshot = Snapshot { index: FOUNDING, term: FOUNDING, voters, data };
-    let hard_state = HardState { term: FOUNDING, voted_for: None, commit: FOUNDING };
+    let snapshot = Snapshot { index: INITIAL_POSITION, term: INITIAL_POSITION, voters, data };
+    let hard_state =
+        HardState { term: INITIAL_POSITION, voted_for: None, commit: INITIAL_POSITION };
     store.install(&snapshot, &hard_state, &[])?;
     Ok((store, RestoredState { hard_state, snapshot, entries: Vec::new() }))
 }
 
-/// The state in a snapshot.
+/// Decodes the state in a snapshot.
 pub(crate) fn read_state(snapshot: &Snapshot) -> Result<FleetState, ReplicaError> {
     if snapshot.data.is_empty() {
         return Ok(FleetState::default());
@@ -43,7 +45,7 @@
     })
 }
 
-/// The command in the entry at `index`.
+/// Decodes the command in the entry at `index`.
 pub(crate) fn read_command(index: LogIndex, bytes: &[u8]) -> Result<Command, ReplicaError> {
     postcard::from_bytes(bytes)
         .map_err(|error| ReplicaError::Unreadable { index, reason: error.to_string() })
--- a/crates/coordinator/src/replica_logger.rs
+++ b/crates/coordinator/src/replica_logger.rs
@@ -1,27 +1,27 @@
-//! Lines in the log that tell what a replica found at its start, who votes, and why nobody leads.
+//! Log lines about a replica: what it found at its start, the voters, and why there is no leader.
 //!
-//! Elections that fail are repeated several times a second, so a line that says the same again is
-//! held back for a while.
+//! Failing elections are repeated several times a second, so a repeated line is suppressed for a
+//! while.
 
 use stackpost_consensus::{ElectionEvent, Raft, Role};
 use stackpost_types::{MachineName, Millis, Timestamp};
 use std::collections::BTreeMap;
 
-/// A line with the same content is written again after so long.
+/// Time for which a line with the same content is suppressed.
 const REPEAT_AFTER: Millis = Millis(2_000);
-/// Time without a leader after which each replica says so.
-const LEADERLESS_AFTER: Millis = Millis(2_000);
+/// Time without a leader after which a replica logs it.
+const LEADERLESS_LOG_DELAY: Millis = Millis(2_000);
 
-/// Writes what happens to one replica.
+/// Logs the events of one replica.
 #[derive(Debug)]
 pub(crate) struct ReplicaLogger {
-    written: BTreeMap<String, Timestamp>,
+    logged_at: BTreeMap<String, Timestamp>,
     voters: BTreeMap<MachineName, u64>,
     leader_known_at: Timestamp,
 }
 
 impl ReplicaLogger {
-    /// Writes what a replica found on its disk.
+    /// Logs what a replica found on its disk.
     pub fn log_opened(raft: &Raft, identity: u64, disk_was_empty: bool, now: Timestamp) -> Self {
         let voters = raft.voters().clone();
         log::info!(
@@ -29,19 +29,19 @@
             disk_was_empty = disk_was_empty,
             identity = format!("{identity:x}").as_str(),
             votes = raft.is_voter(),
-            voters = listed(&voters).as_str(),
+            voters = format_voters(&voters).as_str(),
             term = raft.term(),
             snapshot = raft.snapshot_index(),
             last_index = raft.last_index();
             "replica opened"
         );
-        Self { written: BTreeMap::new(), voters, leader_known_at: now }
+        Self { logged_at: BTreeMap::new(), voters, leader_known_at: now }
     }
 
-    /// Writes one event of an election.
+    /// Logs one event of an election.
     pub fn log_election(&mut self, now: Timestamp, event: &ElectionEvent) {
         let line = match event {
-            ElectionEvent::PreVoteRequested { .. } => "asks for pre-votes".to_string(),
+            ElectionEvent::PreVoteRequested { .. } => "requests pre-votes".to_string(),
             ElectionEvent::Campaigned { term } => format!("campaigns in term {term}"),
             ElectionEvent::Elected { term } => format!("elected in term {term}"),
             ElectionEvent::Refused { candidate, reason } => {
@@ -49,52 +49,52 @@
             }
             ElectionEvent::UncountedVote { voter, identity, counted } => {
                 format!(
-                    "the answer of {voter} does not count: it is {identity:x}, {counted:x} votes"
+                    "the answer of {voter} does not count: its identity is {identity:x}, the voter's is {counted:x}"
                 )
             }
             ElectionEvent::LostQuorum { term } => {
-                format!("leads no more in term {term}: no majority has answered")
+                format!("steps down in term {term}: no majority has replied")
             }
         };
-        self.write(now, line);
+        self.log_unless_repeated(now, line);
     }
 
-    /// Looks at the replica: a change of voters and a long time without a leader are written.
+    /// Logs a change of voters and a long time without a leader.
     pub fn observe(&mut self, now: Timestamp, raft: &Raft) {
         if *raft.voters() != self.voters {
             self.voters = raft.voters().clone();
             log::info!(
                 step = "membership",
-                voters = listed(&self.voters).as_str(),
+                voters = format_voters(&self.voters).as_str(),
                 votes = raft.is_voter();
                 "voters have changed"
             );
         }
         if raft.role() == Role::Leader || raft.leader().is_some() {
             self.leader_known_at = now;
-        } else if now.since(self.leader_known_at) >= LEADERLESS_AFTER {
+        } else if now.since(self.leader_known_at) >= LEADERLESS_LOG_DELAY {
             let role = raft.role();
             let last = raft.last_index();
-            let voters = listed(&self.voters);
-            self.write(
+            let voters = format_voters(&self.voters);
+            self.log_unless_repeated(
                 now,
                 format!("knows no leader; {role:?}, log ends at {last}, voters {voters}"),
             );
         }
     }
 
-    fn write(&mut self, now: Timestamp, line: String) {
-        self.written.retain(|_, at| now.since(*at) < REPEAT_AFTER);
-        if self.written.contains_key(&line) {
+    fn log_unless_repeated(&mut self, now: Timestamp, line: String) {
+        self.logged_at.retain(|_, at| now.since(*at) < REPEAT_AFTER);
+        if self.logged_at.contains_key(&line) {
             return;
         }
         log::info!(step = "election"; "{line}");
-        self.written.insert(line, now);
+        self.logged_at.insert(line, now);
     }
 }
 
-/// The voters with their identities, for a line.
-fn listed(voters: &BTreeMap<MachineName, u64>) -> String {
+/// Formats the voters with their identities.
+fn format_voters(voters: &BTreeMap<MachineName, u64>) -> String {
     let each = voters.iter().map(|(machine, identity)| format!("{machine}#{identity:x}"));
     each.collect::<Vec<_>>().join(" ")
 }
--- a/crates/coordinator/src/replica_thread.rs
+++ b/crates/coordinator/src/replica_thread.rs
@@ -1,4 +1,4 @@
-//! Runs a replica on a thread of its own, so that a slow disk does not hold up the process.
+//! Runs a replica on a thread of its own, so that a slow disk does not block the process.
 
 use crate::control_metrics::ControlMetrics;
 use crate::message::Document;
@@ -16,16 +16,16 @@
 use tokio::sync::{mpsc, watch};
 
 /// Time between two ticks of the replica.
-const TICK: Duration = Duration::from_millis(25);
-/// Pause before a data folder that could not be used is opened again.
+const TICK_INTERVAL: Duration = Duration::from_millis(25);
+/// Pause before a data folder is reopened after an error.
 const REOPEN_PAUSE: Duration = Duration::from_millis(300);
-/// Events taken in before the log is synced.
+/// Maximum number of events processed before the log is synced.
 const EVENTS_PER_ROUND: usize = 256;
 
-/// What a replica shows of itself.
+/// Snapshot of a replica's state for other threads.
 #[derive(Clone, Debug, Default)]
 pub struct ReplicaView {
-    /// Until when it certainly leads.
+    /// End of its lease; `None` unless it leads.
     pub lease_until: Option<BootInstant>,
     /// The leader, if known.
     pub leader: Option<MachineName>,
@@ -35,16 +35,16 @@
     pub applied: u64,
     /// The configuration in force.
     pub document: Option<Document>,
-    /// The services that it names; `None` if there is none.
+    /// The services of the configuration; `None` if there is no configuration.
     pub services: Option<Arc<BTreeSet<ServiceName>>>,
-    /// Requests under which engines have ended.
+    /// Requests under which engines have crashed.
     pub quarantine: Arc<Quarantine>,
-    /// What engines have said of their end.
+    /// The committed departures of engines.
     pub departures: Arc<Departures>,
 }
 
 impl ReplicaView {
-    /// Whether the replica certainly leads.
+    /// Whether the replica is the leader and its lease has not expired.
     pub fn leads(&self) -> bool {
         self.lease_until.is_some_and(|until| BootInstant::now() < until)
     }
@@ -55,7 +55,7 @@
     }
 }
 
-/// The way to the replica's thread.
+/// Sends events to the replica's thread and reads its published state.
 #[derive(Clone)]
 pub struct ReplicaHandle {
     events: Sender<ReplicaEvent>,
@@ -64,7 +64,7 @@
 }
 
 impl ReplicaHandle {
-    /// Hands over an event.
+    /// Sends an event to the thread.
     pub fn send(&self, event: ReplicaEvent) {
         // The thread ends only together with the process.
         let _ = self.events.send(event);
@@ -72,7 +72,7 @@
 
     /// The replica's clock.
     pub fn now(&self) -> Timestamp {
-        reading(self.started)
+        clock_reading(self.started)
     }
 
     /// The replica as of its last round.
@@ -81,7 +81,7 @@
     }
 }
 
-/// The thread and what it owns.
+/// The thread's state.
 pub struct ReplicaThread {
     config: ReplicaConfig,
     folder: PathBuf,
@@ -93,7 +93,7 @@
 }
 
 impl ReplicaThread {
-    /// Starts the thread over the data folder, which is made if need be.
+    /// Starts the thread on the data folder, which is created if it does not exist.
     pub fn start(
         config: ReplicaConfig,
         folder: &Path,
@@ -112,19 +112,19 @@
     fn run(mut self) {
         loop {
             if let Err(error) = self.run_until_error() {
-                log::error!(step = "storage"; "{error}: the data folder is opened again");
+                log::error!(step = "storage"; "{error}; reopening the data folder");
             } else {
                 return;
             }
             self.view.send_replace(ReplicaView::default());
             std::thread::sleep(REOPEN_PAUSE);
-            // A folder that has to be made after all must not take up an identity used before.
+            // If the data folder has to be created now, it must not reuse an earlier identity.
             self.config.initial_voters = None;
             self.config.new_identity = rand::random();
         }
     }
 
-    /// Returns without an error only if nobody sends events any more.
+    /// Returns without an error only after all event senders are dropped.
     fn run_until_error(&self) -> Result<(), ReplicaError> {
         let disk = open_disk(&self.folder)?;
         let mut replica = Replica::open(self.config.clone(), disk, self.now())?;
@@ -143,11 +143,11 @@
             }
             if Instant::now() >= tick_at {
                 round.push(ReplicaEvent::Tick);
-                tick_at = Instant::now() + TICK;
+                tick_at = Instant::now() + TICK_INTERVAL;
             }
-            let began = Instant::now();
+            let round_start = Instant::now();
             let effects = replica.handle(self.now(), round)?;
-            self.metrics.on_round(began.elapsed());
+            self.metrics.on_round(round_start.elapsed());
             self.publish(&replica);
             for effect in effects {
                 // The receiver lives as long as the process.
@@ -185,7 +185,7 @@
         });
     }
 
-    /// The services that a document names. Every document in force has been read before.
+    /// The services of a document. Every document in force has been decoded and validated before.
     fn services(&self, document: &Document) -> Option<Arc<BTreeSet<ServiceName>>> {
         let config = self.config.codec.decode(&document.bytes);
         let config = config.inspect_err(|error| log::error!(step = "decode"; "{error}")).ok()?;
@@ -193,7 +193,7 @@
     }
 
     fn now(&self) -> Timestamp {
-        reading(self.started)
+        clock_reading(self.started)
     }
 
     fn instant(&self, time: Timestamp) -> BootInstant {
@@ -201,11 +201,11 @@
     }
 }
 
-/// Reading of the replica's clock at its start, in milliseconds. Zero stands for "never" in
-/// timers.
+/// Value of the replica's clock at its start, in milliseconds. Not zero, because zero means "never"
+/// in timers.
 const CLOCK_START: u64 = 1_000;
 
-fn reading(started: BootInstant) -> Timestamp {
+fn clock_reading(started: BootInstant) -> Timestamp {
     Timestamp(started.elapsed().as_millis() as u64 + CLOCK_START)
 }
 
--- a/crates/coordinator/src/router_peers.rs
+++ b/crates/coordinator/src/router_peers.rs
@@ -1,15 +1,15 @@
-//! Which other routers a router is told of: to tell them what it sends to engines, and to borrow
-//! from them when it can't reach control.
+//! Selects the other routers with which a router exchanges loads, and from which it borrows tokens
+//! while it is disconnected from control.
 
 use stackpost_gateway_core::RouterEndpoint;
 use std::net::SocketAddr;
 
-/// Other routers that each router is told of. More would cost each router more in datagrams than a
-/// fuller picture of the engines saves.
+/// Number of peers of each router. More peers would cost each router more in datagrams than the
+/// additional information on the engines saves.
 pub const PEERS_PER_ROUTER: usize = 96;
 
-/// The routers that `own` is told of, out of all in `sorted`: those of its own zone first, which a
-/// cut between zones leaves in reach, each router beginning with another one.
+/// Selects the peers of `own` from `sorted`: first those of its own zone, which stay reachable in a
+/// partition between zones. Each router's list starts with a different peer.
 pub fn select_peers(sorted: &[RouterEndpoint], own: &RouterEndpoint) -> Vec<SocketAddr> {
     let next = sorted.partition_point(|endpoint| endpoint <= own);
     let others =
--- a/crates/coordinator/src/router_updates.rs
+++ b/crates/coordinator/src/router_updates.rs
@@ -1,5 +1,6 @@
-//! What a control process tells routers, and of departures other control processes, too. Messages may be lost, so each
-//! kind has a version, and what the other end does not confirm in time is told again.
+//! Updates that a control process sends to routers; departures are also sent to other control
+//! processes. Messages may be lost, so each kind of update has a version, and versions that are not
+//! confirmed in time are resent.
 
 use crate::control_node::ControlNode;
 use crate::control_state::ControlState;
@@ -12,7 +13,7 @@
 use stackpost_types::{BackEndName, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How far the other end of a connection is with each kind.
+/// Delivery state of each kind of update on one connection.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PeerDelivery {
     /// Versions of the configuration.
@@ -28,7 +29,7 @@
 }
 
 impl PeerDelivery {
-    /// A router says what it has.
+    /// Records the versions that a router has confirmed.
     pub fn confirm(&mut self, versions: &RouterVersions) {
         self.document.confirm(versions.document);
         self.departures.confirm(versions.departures);
@@ -38,7 +39,7 @@
     }
 }
 
-/// Engines that have not been announced of late.
+/// Engines whose announcements are overdue.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SilentEngineList {
     pub engines: BTreeSet<BackEndName>,
@@ -46,7 +47,7 @@
 }
 
 impl SilentEngineList {
-    /// Looks at the directory. Returns whether other engines are silent now.
+    /// Updates the list from the directory. Returns whether it has changed.
     pub fn refresh(&mut self, now: Timestamp, directory: &EngineDirectory) -> bool {
         let engines = directory.silent_engines(now);
         let has_changed = engines != self.engines;
@@ -58,18 +59,18 @@
     }
 }
 
-/// The routers that are connected, as they were told of one another.
+/// The list of connected routers as last sent to them.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RouterList {
     endpoints: Vec<RouterEndpoint>,
     version: u64,
-    /// Whether a router has connected since.
+    /// Whether a router has connected since the list was sent.
     pub is_outdated: bool,
 }
 
 impl ControlNode {
-    /// Tells a router whatever it has not confirmed. The configuration and departures come from the leader, unless the
-    /// router hears none.
+    /// Sends a router all updates that it has not confirmed. The configuration and departures are
+    /// sent by the leader only, unless the router is not connected to a leader.
     pub(crate) fn send_updates_to_router(&self, link: LinkId, accepts_unconfirmed: bool) {
         self.send_engines(&[link]);
         self.send_silent(&[link]);
@@ -81,23 +82,23 @@
         }
     }
 
-    /// Tells all routers what is new of the configuration.
+    /// Sends the latest configuration to all routers that have not confirmed it.
     pub(crate) fn broadcast_document(&self) {
         self.send_document(&self.all_routers(), &self.replica.view());
     }
 
-    /// Tells everyone of departures that they have not confirmed.
+    /// Sends departures to all routers and control processes that have not confirmed them.
     pub(crate) fn broadcast_departures(&self) {
-        let everyone = self.state.borrow().links.one_per_peer_all_roles(self.now());
-        self.send_departures(&everyone, &self.replica.view());
+        let peers = self.state.borrow().links.one_per_peer_all_roles(self.now());
+        self.send_departures(&peers, &self.replica.view());
     }
 
-    /// Tells all routers what is new of the engines.
+    /// Sends changes of the engine directory to all routers.
     pub(crate) fn broadcast_engines(&self) {
         self.send_engines(&self.all_routers());
     }
 
-    /// Tells all routers which engines are silent, if these are others now.
+    /// Sends the silent engines to all routers if the list has changed.
     pub(crate) fn broadcast_silent_engines(&self) {
         let now = self.now();
         let has_changed = {
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Tells every router of the others, if one has connected since.
+    /// Sends each router its peers if a router has connected since the last time.
     pub(crate) fn broadcast_router_list(&self) {
         let routers: Vec<LinkId> = {
             let state = &mut *self.state.borrow_mut();
@@ -128,8 +129,9 @@
         self.state.borrow().links.one_per_peer(self.now(), PeerRole::Router)
     }
 
-    /// Sends what leads up to `version` to routers that do not have it and to which it is not on its way. `message` is given
-    /// the version on which they can build, and is asked once for all that build on the same one.
+    /// Sends the update to `version` on the links that need it and on which it is not already in
+    /// flight. `message` creates the update from a base version and is called once for all links
+    /// with the same base.
     fn send_updates(
         &self,
         links: &[LinkId],
@@ -193,7 +195,7 @@
         self.send_updates(links, version, |delivery| &mut delivery.silent, message);
     }
 
-    /// Each router is told of other peers.
+    /// Sends a router its peers, which differ for each router.
     fn send_router_list(&self, link: LinkId) {
         let version = self.state.borrow().routers.version;
         let message = |state: &mut ControlState, _| {
--- a/crates/coordinator/src/state.rs
+++ b/crates/coordinator/src/state.rs
@@ -11,81 +11,82 @@
 pub enum Command {
     /// Replaces the configuration if its version is higher.
     PutDocument {
-        /// The document.
+        /// The new configuration.
         document: Document,
-        /// The prepaid amounts it names.
+        /// The prepaid budgets in the document.
         limits: Vec<(TenantName, Tokens)>,
     },
-    /// Hands tokens to routers.
+    /// Grants tokens to routers.
     Grant(Vec<Grant>),
-    /// Takes in what routers have given back in all.
+    /// Records the total tokens that routers have returned.
     ReturnTokens(Vec<TokenReturn>),
-    /// Ends a router life.
+    /// Closes a router incarnation.
     CloseRouter {
-        /// The life.
+        /// The router incarnation.
         router: NodeId,
         /// What is known of its end.
         end: IncarnationEnd,
     },
-    /// Takes in when a router was last in touch; as versions before [`Command::RecordContacts`] wrote it.
+    /// Records a router's last contact with the leader. Written by versions before
+    /// [`Command::RecordContacts`].
     RecordContact {
         /// The router.
         router: NodeId,
-        /// The contact.
+        /// Time of the contact.
         contact: BootTimestamp,
-        /// What was gone of each of its allotments some time after.
+        /// Tokens consumed of each of its allotments some time after the contact.
         consumed: Vec<(TenantName, Tokens)>,
     },
-    /// Changes what is held against requests under which engines have ended.
+    /// Changes the record of requests under which engines have crashed.
     Quarantine(QuarantineChange),
-    /// Changes what engines have said of their end.
+    /// Changes the engines' departures.
     Departures(DepartureChange),
-    /// Takes in when routers were last in touch.
+    /// Records the last contacts of routers with the leader.
     RecordContacts(Vec<RouterContact>),
 }
 
-/// When a router was last in touch.
+/// A router's last contact with the leader.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RouterContact {
     /// The router.
     pub router: NodeId,
-    /// The contact.
+    /// Time of the contact.
     pub contact: BootTimestamp,
-    /// What was gone of each of its allotments some time after.
+    /// Tokens consumed of each of its allotments some time after the contact.
     pub consumed: Vec<(TenantName, Tokens)>,
 }
 
-/// What applying a command did.
+/// Result of applying a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ApplyOutcome {
     /// Nothing to report.
     Done,
-    /// The configuration is in force.
+    /// The configuration of the command is in force.
     DocumentAccepted,
     /// A configuration with the same or a higher version was in force already.
     DocumentSuperseded,
-    /// Routers are to be told something else about requests that end engines.
+    /// The set of quarantined requests has changed.
     QuarantineChanged,
-    /// Engines have said something new of their end.
+    /// The engines' departures have changed.
     DeparturesChanged,
 }
 
-/// Everything that the control replicas agree on.
+/// The state that is replicated between the control replicas.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct FleetState {
     /// The configuration in force.
     pub document: Option<Document>,
     /// The prepaid budgets.
     pub ledger: PrepaidLedger,
-    /// Requests under which engines have ended. Kept with the rest because a request may come again after
-    /// all processes have been killed.
+    /// Requests under which engines have crashed. Replicated because a caller may resend a request
+    /// after all processes have been killed.
     pub quarantine: Quarantine,
-    /// What engines have said of their end. Kept with the rest because an engine that was told that its leaving is known
-    /// calls nobody again.
+    /// The engines' departures. Replicated because an engine whose departure was acknowledged does
+    /// not repeat it.
     pub departures: Departures,
 }
 
-/// The state as versions before the departures wrote it.
+/// The state as written by versions without departures.
 #[derive(Deserialize)]
 struct StateWithoutDepartures {
     document: Option<Document>,
@@ -93,7 +94,7 @@
     quarantine: Quarantine,
 }
 
-/// The state as versions before the quarantine wrote it.
+/// The state as written by versions without a quarantine.
 #[derive(Deserialize)]
 struct StateWithoutQuarantine {
     document: Option<Document>,
@@ -116,8 +117,8 @@
                 }
             }
             Command::ReturnTokens(returns) => {
-                for given in returns {
-                    self.ledger.record_return(&given);
+                for token_return in returns {
+                    self.ledger.record_return(&token_return);
                 }
             }
             Command::CloseRouter { router, end } => {
@@ -172,18 +173,18 @@
         }
     }
 
-    /// The state as bytes.
+    /// Encodes the state.
     pub fn to_snapshot(&self) -> Vec<u8> {
         postcard::to_stdvec(self).expect("the state can be encoded")
     }
 
-    /// The state from bytes, of this version or an earlier one.
+    /// Decodes a state written by this version or an earlier one.
     pub fn from_snapshot(bytes: &[u8]) -> Result<Self, postcard::Error> {
         let newest = postcard::from_bytes(bytes);
-        newest.or_else(|error| Self::from_earlier(bytes).map_err(|_| error))
+        newest.or_else(|error| Self::from_earlier_version(bytes).map_err(|_| error))
     }
 
-    fn from_earlier(bytes: &[u8]) -> Result<Self, postcard::Error> {
+    fn from_earlier_version(bytes: &[u8]) -> Result<Self, postcard::Error> {
         let departures = Departures::default();
         if let Ok(state) = postcard::from_bytes::<StateWithoutDepartures>(bytes) {
             let StateWithoutDepartures { document, ledger, quarantine } = state;
