--- a/crates/coordinator/src/prepaid_planner.rs
+++ b/crates/coordinator/src/prepaid_planner.rs
@@ -241,7 +241,11 @@
         }
         let routers = self.routers.len();
         if let Some(lost) = self.scarce_limiter.open_guard_after_loss(now, routers) {
-            log::info!(lost = lost, routers = routers; "routers were lost together: withheld last parts of budgets may be spent");
+            log::info!(
+                lost = lost,
+                routers = routers;
+                "routers were lost together: withheld last parts of budgets may be spent"
+            );
         }
         commands
     }
--- a/crates/coordinator/src/replica.rs
+++ b/crates/coordinator/src/replica.rs
@@ -232,7 +232,10 @@
 
     fn propose_quarantine(&mut self, change: QuarantineChange) {
         if self.propose(&Command::Quarantine(change)).is_none() {
-            log::info!(step = "quarantine"; "quarantine change not proposed: another replica leads");
+            log::info!(
+                step = "quarantine";
+                "quarantine change not proposed: another replica leads"
+            );
         }
     }
 
--- a/crates/coordinator/src/replica_logger.rs
+++ b/crates/coordinator/src/replica_logger.rs
@@ -49,7 +49,7 @@
             }
             ElectionEvent::UncountedVote { voter, identity, counted } => {
                 format!(
-                    "the answer of {voter} does not count: its identity is {identity:x}, the voter's is {counted:x}"
+                    "the answer of {voter} does not count: identity {identity:x}, voter's {counted:x}"
                 )
             }
             ElectionEvent::LostQuorum { term } => {
--- a/crates/coordinator/src/state.rs
+++ b/crates/coordinator/src/state.rs
@@ -161,7 +161,11 @@
             let engines = self.quarantine.suspect(request).into_iter().flat_map(Suspect::engines);
             let engines: Vec<&str> = engines.map(BackEndName::as_str).collect();
             let (fingerprint, engines) = (request.to_string(), engines.join(","));
-            log::warn!(fingerprint = fingerprint.as_str(), engines = engines.as_str(); "request quarantined");
+            log::warn!(
+                fingerprint = fingerprint.as_str(),
+                engines = engines.as_str();
+                "request quarantined"
+            );
         }
         for request in before.quarantined.difference(&after.quarantined) {
             log::info!(fingerprint = request.to_string().as_str(); "request let in again");
--- a/crates/coordinator/tests/delivery.rs
+++ b/crates/coordinator/tests/delivery.rs
@@ -1,23 +1,23 @@
-//! What a router is told of something that has versions.
+//! Resending of versioned updates until they are confirmed.
 
 use stackpost_coordinator::DeliveryTracker;
 use stackpost_types::Timestamp;
 
 const NOW: Timestamp = Timestamp(10_000);
-/// Longer than a confirmation is waited for.
+/// Later than `NOW` by more than the resend interval.
 const LATER: Timestamp = Timestamp(11_000);
 
 #[test]
-fn what_is_on_its_way_is_built_on_and_not_sent_twice() {
+fn version_in_flight_is_the_base_and_not_sent_twice() {
     let mut delivery = DeliveryTracker::default();
-    assert_eq!(delivery.begin_send(NOW, 0), None, "there is nothing to tell");
+    assert_eq!(delivery.begin_send(NOW, 0), None, "nothing to send");
     assert_eq!(delivery.begin_send(NOW, 3), Some(0));
     assert_eq!(delivery.begin_send(NOW, 3), None);
     assert_eq!(delivery.begin_send(NOW, 5), Some(3));
 }
 
 #[test]
-fn what_is_not_confirmed_in_time_is_told_again_from_what_is() {
+fn unconfirmed_version_is_resent_from_the_confirmed_one() {
     let mut delivery = DeliveryTracker::default();
     delivery.begin_send(NOW, 3);
     delivery.confirm(3);
--- a/crates/coordinator/tests/deltas.rs
+++ b/crates/coordinator/tests/deltas.rs
@@ -1,4 +1,4 @@
-//! Differences between configurations.
+//! Deltas between configurations, and compressed configurations.
 
 use proptest::prelude::*;
 use stackpost_coordinator::{Document, DocumentDelta, PackedDocument};
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_small_change_of_a_large_document_is_small() {
+fn small_change_of_a_large_document_has_a_small_delta() {
     let base = document(1, &routes(999));
     let changed = document(2, &routes(150));
     let delta = DocumentDelta::between(&base, &changed);
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn another_base_is_refused() {
+fn delta_does_not_apply_to_another_base() {
     let base = document(1, &routes(999));
     let delta = DocumentDelta::between(&base, &document(2, &routes(5)));
     assert_eq!(delta.apply(&document(3, &routes(999))), None);
@@ -43,7 +43,7 @@
     })]
 
     #[test]
-    fn any_two_documents_have_a_difference(
+    fn delta_between_any_two_documents_applies(
         left in "[ab]{0,400}",
         right in "[ab]{0,400}",
         shared in "[a-z]{0,300}",
@@ -55,22 +55,23 @@
 }
 
 #[test]
-fn a_packed_document_is_small_and_comes_back_byte_for_byte() {
+fn packed_document_is_small_and_unpacks_byte_for_byte() {
     let text: String = (0..5).map(routes).collect();
     let document = document(7, &text);
     let packed = PackedDocument::pack(&document);
     assert!(packed.packed_len() * 8 < text.len(), "{} of {}", packed.packed_len(), text.len());
     let bytes = postcard::to_stdvec(&packed).expect("encoded");
     let read: PackedDocument = postcard::from_bytes(&bytes).expect("read");
-    assert_eq!(read.unpack().expect("whole"), document);
+    assert_eq!(read.unpack().expect("intact"), document);
 }
 
 #[test]
-fn a_packed_document_that_is_cut_short_is_refused() {
+fn truncated_packed_document_is_rejected() {
     let packed = PackedDocument::pack(&document(7, &routes(3)));
     let bytes = postcard::to_stdvec(&packed).expect("encoded");
-    let (version, whole): (u64, Vec<u8>) = postcard::from_bytes(&bytes).expect("read");
-    let half = postcard::to_stdvec(&(version, &whole[..whole.len() / 2])).expect("encoded");
-    let cut: PackedDocument = postcard::from_bytes(&half).expect("read");
-    assert!(cut.unpack().is_err());
+    let (version, packed_bytes): (u64, Vec<u8>) = postcard::from_bytes(&bytes).expect("read");
+    let half =
+        postcard::to_stdvec(&(version, &packed_bytes[..packed_bytes.len() / 2])).expect("encoded");
+    let truncated: PackedDocument = postcard::from_bytes(&half).expect("read");
+    assert!(truncated.unpack().is_err());
 }
--- a/crates/coordinator/tests/departures.rs
+++ b/crates/coordinator/tests/departures.rs
@@ -1,4 +1,5 @@
-//! Engines' words that they leave, written down by control replicas: what one replica holds is never lost.
+//! Departures of engines in the replicated log: a record that one replica has applied is never
+//! lost.
 
 mod support;
 
@@ -8,25 +9,25 @@
 use std::collections::BTreeMap;
 use support::{INITIAL_VOTERS, MACHINES, World, seeds};
 
-/// Seeds that every run plays.
+/// Number of seeds in a default run.
 const SEEDS: u64 = 60;
 /// Length of a run with faults, in milliseconds.
-const TROUBLE: u64 = 40_000;
-/// Time to come to rest afterwards.
-const REST: u64 = 25_000;
-/// Longer than a word is kept.
-const KEPT: u64 = 200_000;
+const FAULT_TIME_MS: u64 = 40_000;
+/// Time to recover afterwards.
+const RECOVERY_TIME_MS: u64 = 25_000;
+/// Longer than the retention of a record.
+const PAST_RETENTION_MS: u64 = 200_000;
 
-fn word(engine: usize, state: EngineState) -> DepartureRecord {
+fn departure(engine: usize, state: EngineState) -> DepartureRecord {
     DepartureRecord { engine: format!("engine-{engine}").as_str().into(), state, sequence: 3 }
 }
 
-/// Asks a replica to write a word down; only the leader does.
-fn say(world: &mut World, machine: usize, word: DepartureRecord) {
-    world.send_event(machine, ReplicaEvent::DepartureNotices(vec![word]));
+/// Submits a record to a replica; only the leader proposes it.
+fn submit(world: &mut World, machine: usize, departure: DepartureRecord) {
+    world.send_event(machine, ReplicaEvent::DepartureNotices(vec![departure]));
 }
 
-fn held(world: &World) -> impl Iterator<Item = &Departures> {
+fn departures_of_replicas(world: &World) -> impl Iterator<Item = &Departures> {
     world
         .machines
         .iter()
@@ -34,36 +35,36 @@
         .map(|replica| &replica.state().departures)
 }
 
-/// A word is acknowledged by whichever replica holds it.
-fn is_acknowledged(world: &World, word: &DepartureRecord) -> bool {
-    held(world).any(|departures| departures.covers(word))
+/// Whether any replica has applied the record, and so may have acknowledged it.
+fn is_acknowledged(world: &World, departure: &DepartureRecord) -> bool {
+    departures_of_replicas(world).any(|departures| departures.covers(departure))
 }
 
-fn play(seed: u64) -> usize {
+fn run_with_faults(seed: u64) -> usize {
     let mut world = World::new(seed);
     world.run_for(3_000);
-    let end = world.now + TROUBLE;
-    let mut said = 0;
+    let end = world.now + FAULT_TIME_MS;
+    let mut submitted = 0;
     let mut acknowledged = BTreeMap::new();
     while world.now < end {
         let pause = world.rng.random_range(20..400);
         let before = world.now + pause;
         let machine = world.rng.random_range(0..MACHINES);
-        let state = if said % 2 == 0 { EngineState::Gone } else { EngineState::Draining };
-        say(&mut world, machine, word(said, state));
-        said += 1;
-        let latest: Vec<DepartureRecord> = (said.saturating_sub(8)..said)
+        let state = if submitted % 2 == 0 { EngineState::Gone } else { EngineState::Draining };
+        submit(&mut world, machine, departure(submitted, state));
+        submitted += 1;
+        let latest: Vec<DepartureRecord> = (submitted.saturating_sub(8)..submitted)
             .map(|engine| {
                 let state = if engine % 2 == 0 { EngineState::Gone } else { EngineState::Draining };
-                word(engine, state)
+                departure(engine, state)
             })
             .collect();
         world.run_until(|world| {
-            world.now >= before || latest.iter().any(|word| is_acknowledged(world, word))
+            world.now >= before || latest.iter().any(|departure| is_acknowledged(world, departure))
         });
-        for word in latest {
-            if is_acknowledged(&world, &word) {
-                acknowledged.insert(word.engine.clone(), word);
+        for departure in latest {
+            if is_acknowledged(&world, &departure) {
+                acknowledged.insert(departure.engine.clone(), departure);
             }
         }
         if world.rng.random_ratio(1, 4) {
@@ -71,61 +72,65 @@
         }
     }
     world.heal();
-    world.run_for(REST);
+    world.run_for(RECOVERY_TIME_MS);
     let voters = world.voters();
     assert_eq!(voters.len(), INITIAL_VOTERS, "seed {seed}");
     for machine in world.machines.iter().filter(|machine| voters.contains(&machine.name)) {
-        let replica = machine.replica.as_ref().expect("it runs");
-        for word in acknowledged.values() {
-            let is_held = replica.state().departures.covers(word);
-            assert!(is_held, "seed {seed}: {word:?} was acknowledged and is lost");
+        let replica = machine.replica.as_ref().expect("running");
+        for departure in acknowledged.values() {
+            let is_covered = replica.state().departures.covers(departure);
+            assert!(is_covered, "seed {seed}: {departure:?} was acknowledged and lost");
         }
     }
     acknowledged.len()
 }
 
 #[test]
-fn a_departure_that_was_acknowledged_is_never_lost() {
-    let acknowledged: usize = seeds(SEEDS).map(play).sum();
-    assert!(acknowledged as u64 > SEEDS * 5, "too little was acknowledged: {acknowledged}");
+fn acknowledged_departure_is_never_lost() {
+    let acknowledged: usize = seeds(SEEDS).map(run_with_faults).sum();
+    assert!(acknowledged as u64 > SEEDS * 5, "too few acknowledged: {acknowledged}");
 }
 
 #[test]
-fn a_word_is_written_down_once_and_forgotten_after_a_while() {
+fn departure_is_committed_once_and_expires() {
     let mut world = World::with_machines(5, INITIAL_VOTERS);
     world.run_for(3_000);
     for _ in 0..20 {
         for machine in 0..INITIAL_VOTERS {
-            say(&mut world, machine, word(1, EngineState::Gone));
+            submit(&mut world, machine, departure(1, EngineState::Gone));
         }
         world.run_for(300);
     }
-    assert!(held(&world).all(|departures| departures.revision() == 1));
-    assert!(is_acknowledged(&world, &word(1, EngineState::Gone)));
-    world.run_for(KEPT);
-    assert!(held(&world).all(|departures| departures.get(&"engine-1".into()).is_none()));
+    assert!(departures_of_replicas(&world).all(|departures| departures.revision() == 1));
+    assert!(is_acknowledged(&world, &departure(1, EngineState::Gone)));
+    world.run_for(PAST_RETENTION_MS);
+    assert!(
+        departures_of_replicas(&world)
+            .all(|departures| departures.get(&"engine-1".into()).is_none())
+    );
 }
 
 #[test]
-fn nothing_is_written_down_without_a_majority() {
+fn no_departure_is_committed_without_a_majority() {
     let mut world = World::with_machines(6, INITIAL_VOTERS);
     world.run_for(3_000);
-    let leader = world.leader().expect("one leads");
+    let leader = world.leader().expect("a leader");
     world.isolate(leader);
-    say(&mut world, leader, word(1, EngineState::Gone));
+    submit(&mut world, leader, departure(1, EngineState::Gone));
     world.run_for(5_000);
-    assert!(!is_acknowledged(&world, &word(1, EngineState::Gone)));
+    assert!(!is_acknowledged(&world, &departure(1, EngineState::Gone)));
 }
 
 #[test]
-fn a_snapshot_of_the_version_before_is_read() {
+fn snapshot_without_departures_is_decoded() {
     let mut state = FleetState::default();
     let earlier = state.to_snapshot();
-    let change = DepartureChange::Announced(vec![word(1, EngineState::Gone)]);
+    let change = DepartureChange::Announced(vec![departure(1, EngineState::Gone)]);
     assert_eq!(state.apply(Command::Departures(change)), ApplyOutcome::DeparturesChanged);
     let now = state.to_snapshot();
     assert_eq!(FleetState::from_snapshot(&now), Ok(state));
-    // Without words the departures are two numbers at the end: none held, and the revision.
-    let without = &earlier[..earlier.len() - 2];
-    assert_eq!(FleetState::from_snapshot(without), Ok(FleetState::default()));
+    // Empty departures are encoded as two numbers at the end: the number of records, and the
+    // revision.
+    let without_departures = &earlier[..earlier.len() - 2];
+    assert_eq!(FleetState::from_snapshot(without_departures), Ok(FleetState::default()));
 }
--- a/crates/coordinator/tests/links.rs
+++ b/crates/coordinator/tests/links.rs
@@ -1,4 +1,4 @@
-//! Over which connection a control process is told things.
+//! Selection of the connection over which a control process sends.
 
 use stackpost_coordinator::Links;
 use stackpost_mesh::{LinkId, PeerInfo, PeerRole};
@@ -13,20 +13,20 @@
     }
 }
 
-/// Each end hears nothing over a connection that the other never uses, and gives it up.
+/// A connection over which one end never sends is closed by the other end.
 #[test]
-fn a_status_goes_over_both_connections_of_a_pair() {
+fn status_is_sent_over_both_connections_of_a_pair() {
     let mut links = Links::default();
     let (dialed, accepted) = (LinkId::from_raw(1), LinkId::from_raw(2));
     links.up(Timestamp(0), dialed, control("b", 1));
     links.up(Timestamp(10), accepted, control("b", 1));
     assert_eq!(links.all(), vec![dialed, accepted]);
-    assert_eq!(links.one_per_peer_all_roles(Timestamp(20)), vec![accepted], "messages go over one");
+    assert_eq!(links.one_per_peer_all_roles(Timestamp(20)), vec![accepted], "other messages");
 }
 
-/// Connections may go silent for good without a reset.
+/// A connection may stop working without a reset.
 #[test]
-fn a_connection_that_has_fallen_silent_is_left_for_one_that_is_heard() {
+fn silent_connection_is_replaced_by_an_active_one() {
     let mut links = Links::default();
     let (first, second) = (LinkId::from_raw(1), LinkId::from_raw(2));
     links.up(Timestamp(0), first, control("b", 1));
@@ -38,7 +38,7 @@
     assert_eq!(
         links.link_to_control(Timestamp(400), &machine),
         Some(second),
-        "silent for 390 ms only"
+        "silent for only 390 ms"
     );
     assert_eq!(links.link_to_control(Timestamp(1_000), &machine), Some(first));
     assert_eq!(links.one_per_peer(Timestamp(1_000), PeerRole::Control), vec![first]);
@@ -46,9 +46,9 @@
     assert_eq!(links.link_to_control(Timestamp(1_020), &machine), Some(second));
 }
 
-/// A machine that has come back is told things over the connection to its new life.
+/// Messages to a restarted machine are sent over the connection to its new incarnation.
 #[test]
-fn the_newest_life_of_a_machine_is_spoken_to() {
+fn messages_go_to_the_newest_incarnation() {
     let mut links = Links::default();
     let (before, after) = (LinkId::from_raw(1), LinkId::from_raw(2));
     links.up(Timestamp(0), before, control("b", 1));
--- a/crates/coordinator/tests/quarantine.rs
+++ b/crates/coordinator/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! The quarantine of requests that end engines, over faults of the control replicas.
+//! The quarantine of requests that crash engines, under faults of the control replicas.
 
 mod support;
 
@@ -10,9 +10,9 @@
 use support::*;
 
 /// Time for an election and a commit.
-const SETTLED: u64 = 3_000;
+const SETTLE_TIME_MS: u64 = 3_000;
 /// Longer than a first quarantine.
-const QUARANTINE_OVER: u64 = 305_000;
+const PAST_QUARANTINE_MS: u64 = 305_000;
 
 fn request() -> RequestFingerprint {
     RequestFingerprint::of(&RequestContent {
@@ -37,74 +37,75 @@
 
 fn report(world: &mut World, at_engine: usize) {
     world.run_until(|world| world.leader().is_some());
-    let leader = world.leader().expect("one leads");
+    let leader = world.leader().expect("a leader");
     world.send_event(leader, ReplicaEvent::CrashReport(sighting(at_engine)));
     world.run_for(500);
 }
 
 fn announce(world: &mut World, number: usize) {
-    let leader = world.leader().expect("one leads");
+    let leader = world.leader().expect("a leader");
     world.send_event(leader, ReplicaEvent::EngineAnnounced(engine(number)));
     world.run_for(500);
 }
 
 fn quarantined(world: &World) -> usize {
     let replicas = world.machines.iter().filter_map(|machine| machine.replica.as_ref());
-    replicas.filter(|held| held.state().quarantine.is_quarantined(&request())).count()
+    replicas.filter(|replica| replica.state().quarantine.is_quarantined(&request())).count()
 }
 
-fn world_with_three_engines_lost() -> World {
+fn world_with_quarantined_request() -> World {
     let mut world = World::new(7);
-    world.run_for(SETTLED);
+    world.run_for(SETTLE_TIME_MS);
     (0..CRASHES_TO_QUARANTINE).for_each(|at_engine| report(&mut world, at_engine));
-    world.run_for(SETTLED);
-    assert!(quarantined(&world) >= INITIAL_VOTERS, "every voter knows");
+    world.run_for(SETTLE_TIME_MS);
+    assert!(quarantined(&world) >= INITIAL_VOTERS, "every voter has the quarantine");
     world
 }
 
 #[test]
-fn it_outlives_leaders_and_a_loss_of_power_of_all_machines() {
-    let mut world = world_with_three_engines_lost();
-    let leader = world.leader().expect("one leads");
+fn quarantine_survives_a_leader_change_and_a_full_power_loss() {
+    let mut world = world_with_quarantined_request();
+    let leader = world.leader().expect("a leader");
     world.stop(leader, 500);
-    world.run_for(SETTLED);
+    world.run_for(SETTLE_TIME_MS);
     assert!(quarantined(&world) >= INITIAL_VOTERS);
     for machine in 0..world.machines.len() {
         world.machines[machine].disk.simulate_power_loss(0);
         world.stop(machine, 1_000);
     }
-    world.run_for(2 * SETTLED);
+    world.run_for(2 * SETTLE_TIME_MS);
     assert!(quarantined(&world) >= INITIAL_VOTERS);
 }
 
 #[test]
-fn sightings_of_several_leaders_add_up() {
+fn sightings_under_several_leaders_add_up() {
     let mut world = World::new(8);
-    world.run_for(SETTLED);
+    world.run_for(SETTLE_TIME_MS);
     for at_engine in 0..CRASHES_TO_QUARANTINE {
         report(&mut world, at_engine);
-        let leader = world.leader().expect("one leads");
+        let leader = world.leader().expect("a leader");
         world.stop(leader, 500);
-        world.run_for(SETTLED);
+        world.run_for(SETTLE_TIME_MS);
     }
     assert!(quarantined(&world) >= INITIAL_VOTERS);
 }
 
 #[test]
-fn an_engine_that_goes_on_announcing_itself_has_not_ended() {
-    let mut world = world_with_three_engines_lost();
+fn repeated_announcements_revoke_the_crash_sighting() {
+    let mut world = world_with_quarantined_request();
     announce(&mut world, 0);
-    assert!(quarantined(&world) >= INITIAL_VOTERS, "one announcement may have been held up");
+    assert!(quarantined(&world) >= INITIAL_VOTERS, "one announcement may have been delayed");
     announce(&mut world, 0);
     assert_eq!(quarantined(&world), 0);
     report(&mut world, 5);
     assert!(quarantined(&world) >= INITIAL_VOTERS, "the other two engines still count");
 }
 
-/// Routers tell what is new more than once, in case a report was lost.
+/// Routers repeat reports in case one was lost. A repeated sighting that reset the count of
+/// announcements would keep the quarantine of a running engine.
 #[test]
-fn a_sighting_that_is_told_again_begins_no_count_anew() {
-    let mut world = world_with_three_engines_lost();
+fn repeated_sighting_does_not_reset_the_announcement_count() {
+    let mut world = world_with_quarantined_request();
     announce(&mut world, 0);
     report(&mut world, 0);
     announce(&mut world, 0);
@@ -112,26 +113,26 @@
 }
 
 #[test]
-fn it_ends_after_its_time_and_comes_back_with_the_next_engine() {
-    let mut world = world_with_three_engines_lost();
-    world.run_for(QUARANTINE_OVER);
+fn quarantine_expires_and_returns_with_the_next_crash() {
+    let mut world = world_with_quarantined_request();
+    world.run_for(PAST_QUARANTINE_MS);
     assert_eq!(quarantined(&world), 0);
     report(&mut world, 9);
-    world.run_for(QUARANTINE_OVER);
-    assert!(quarantined(&world) >= INITIAL_VOTERS, "twice as long");
+    world.run_for(PAST_QUARANTINE_MS);
+    assert!(quarantined(&world) >= INITIAL_VOTERS, "the second quarantine lasts twice as long");
 }
 
 #[test]
-fn a_request_that_ended_well_is_let_in_everywhere() {
-    let mut world = world_with_three_engines_lost();
-    let leader = world.leader().expect("one leads");
+fn completed_request_is_released_from_quarantine() {
+    let mut world = world_with_quarantined_request();
+    let leader = world.leader().expect("a leader");
     let cleared = QuarantineChange::Cleared(vec![request()]);
     world.send_event(leader, ReplicaEvent::CrashReport(cleared));
-    world.run_for(SETTLED);
+    world.run_for(SETTLE_TIME_MS);
     assert_eq!(quarantined(&world), 0);
 }
 
-/// The state as versions without a quarantine wrote it.
+/// The state as written by versions without a quarantine.
 #[derive(Serialize)]
 struct EarlierState {
     document: Option<Document>,
@@ -139,7 +140,7 @@
 }
 
 #[test]
-fn a_snapshot_without_a_quarantine_is_read() {
+fn snapshot_without_a_quarantine_is_decoded() {
     let document = Document { version: 3, bytes: b"3".as_slice().into() };
     let earlier = EarlierState { document: Some(document), ledger: PrepaidLedger::default() };
     let bytes = postcard::to_stdvec(&earlier).expect("encoded");
@@ -147,6 +148,6 @@
     assert_eq!(state.document_version(), 3);
     assert!(state.quarantine.is_empty());
     state.apply(Command::Quarantine(sighting(0)));
-    let again = FleetState::from_snapshot(&state.to_snapshot()).expect("read");
-    assert_eq!(again, state);
+    let decoded = FleetState::from_snapshot(&state.to_snapshot()).expect("read");
+    assert_eq!(decoded, state);
 }
--- a/crates/coordinator/tests/replacement.rs
+++ b/crates/coordinator/tests/replacement.rs
@@ -1,19 +1,19 @@
-//! Machines that are replaced and disks that are lost, one after the other. A lost machine counts as
-//! back four seconds after its successor has started; from then on the next loss must be borne.
+//! Replaced machines and lost disks, one after the other. A lost machine counts as replaced four
+//! seconds after the start of its successor; from then on the next loss must be tolerated.
 
 mod support;
 
 use rand::Rng;
 use support::{INITIAL_VOTERS, TICK_MS, World, ZONES, name, seeds};
 
-/// Time after its start in which a new or emptied machine has to be up to date.
-const CATCH_UP: u64 = 4_000;
+/// Time after its start within which a new or wiped machine must have caught up.
+const CATCH_UP_TIME_MS: u64 = 4_000;
 /// Pause between the end of a machine and the start of its successor.
-const PAUSE: u64 = 600;
-/// Seeds that every run plays.
+const RESTART_PAUSE_MS: u64 = 600;
+/// Number of seeds in a default run.
 const SEEDS: u64 = 40;
-/// Losses of a disk in one run.
-const LOSSES: u32 = 6;
+/// Number of lost disks or machines in one run.
+const LOSS_COUNT: u32 = 6;
 
 fn put_everywhere(world: &mut World) {
     for machine in 0..world.machines.len() {
@@ -21,64 +21,65 @@
     }
 }
 
-/// The series of the incident of 2 December 2026: the leader is replaced, the next leader's process
-/// ends once, then that leader loses its disk; each leader had led for less than eight seconds.
+/// The leader is replaced, the next leader's process restarts once, then that leader loses its
+/// disk; each leader has led for less than eight seconds. The fault was that no leader could be
+/// elected after this sequence.
 #[test]
-fn a_lost_voter_is_replaced_before_the_next_disk_is_lost() {
+fn lost_voter_is_replaced_before_the_next_disk_is_lost() {
     let mut world = World::with_machines(1, INITIAL_VOTERS);
     world.run_for(3_000);
-    let first = world.leader().expect("the founders have elected one");
-    world.replace(first, PAUSE);
+    let first = world.leader().expect("a leader of the initial voters");
+    world.replace(first, RESTART_PAUSE_MS);
     world.run_for(7_600);
-    let second = world.leader().expect("the other founders have elected one");
+    let second = world.leader().expect("a leader of the remaining initial voters");
     world.stop(second, 500);
     world.run_for(7_400);
     put_everywhere(&mut world);
     world.run_for(300);
-    let third = world.leader().expect("one leads again");
+    let third = world.leader().expect("a leader again");
     assert!(world.acknowledged > 0);
     world.lose_disk(third, 2_000);
     world.run_for(10_000);
-    assert!(world.any_read_answered(), "one disk at a time was lost, and nobody leads");
+    assert!(world.any_read_answered(), "no leader although one disk at a time was lost");
 }
 
-/// Losses of disks with the catching up between them, and ends of processes at any time, also of
-/// all at once. Nothing is lost, and every loss is borne.
+/// Disks are lost with time to catch up between them, and processes are killed at any time, also
+/// all at once. No acknowledged change may be lost, and every loss must be tolerated.
 #[test]
-fn one_disk_after_the_other_may_be_lost() {
+fn successive_losses_of_disks_are_tolerated() {
     for seed in seeds(SEEDS) {
         let mut world = World::with_machines(seed, INITIAL_VOTERS);
         world.run_for(3_000);
-        for loss in 0..LOSSES {
-            lose_one(&mut world);
-            trouble_until(&mut world, CATCH_UP + PAUSE);
+        for loss in 0..LOSS_COUNT {
+            lose_machine_or_disk(&mut world);
+            run_with_leader_kills(&mut world, CATCH_UP_TIME_MS + RESTART_PAUSE_MS);
             put_everywhere(&mut world);
             let rest = world.rng.random_range(300..3_000);
             world.run_for(rest);
-            assert!(world.any_read_answered(), "seed {seed}: nobody answers after loss {loss}");
+            assert!(world.any_read_answered(), "seed {seed}: no read answered after loss {loss}");
         }
         world.all_lose_power();
         world.run_for(12_000);
-        assert!(world.any_read_answered(), "seed {seed}: nobody answers at the end");
+        assert!(world.any_read_answered(), "seed {seed}: no read answered at the end");
         assert!(world.acknowledged > 0);
     }
 }
 
-/// A machine is replaced by another one or starts again without its disk; often the leader.
-fn lose_one(world: &mut World) {
-    let alive: Vec<usize> =
+/// Replaces a machine by another one, or restarts it without its disk; often it is the leader.
+fn lose_machine_or_disk(world: &mut World) {
+    let running: Vec<usize> =
         (0..world.machines.len()).filter(|one| world.machines[*one].replica.is_some()).collect();
-    let any = alive[world.rng.random_range(0..alive.len())];
+    let any = running[world.rng.random_range(0..running.len())];
     let machine = if world.rng.random() { world.leader().unwrap_or(any) } else { any };
     if world.rng.random() {
-        world.replace(machine, PAUSE);
+        world.replace(machine, RESTART_PAUSE_MS);
     } else {
-        world.lose_disk(machine, PAUSE);
+        world.lose_disk(machine, RESTART_PAUSE_MS);
     }
 }
 
-/// Lets `time` pass; at moments in its first half a leader's process may end for a moment.
-fn trouble_until(world: &mut World, time: u64) {
+/// Advances time by `time`; in the first half the leader's process may be killed for 300 ms.
+fn run_with_leader_kills(world: &mut World, time: u64) {
     let end = world.now + time;
     let kills = world.rng.random_range(0..2);
     for _ in 0..kills {
@@ -91,32 +92,32 @@
     world.run_for(end.saturating_sub(world.now));
 }
 
-/// The leader ends right after a newcomer was let in, before anyone else hears that it was, with an
-/// entry that only it holds. The newcomer's vote is needed then.
+/// The leader stops right after it has added a new voter, before any other replica learns of it,
+/// with an entry that only the leader holds. The election then needs the new voter's vote.
 #[test]
-fn a_newcomer_votes_before_it_has_heard_that_it_may() {
+fn new_voter_votes_before_it_has_received_its_own_addition() {
     for seed in seeds(SEEDS) {
         let mut world = World::with_machines(seed, INITIAL_VOTERS);
         world.run_for(3_000);
-        let gone =
+        let lost =
             (0..INITIAL_VOTERS).find(|one| world.leader() != Some(*one)).expect("a follower");
-        let newcomer = world.replace(gone, PAUSE);
-        world.run_until(|world| world.voters().contains(&name(newcomer)));
-        let leader = world.leader().expect("it has just let the newcomer in");
+        let new_machine = world.replace(lost, RESTART_PAUSE_MS);
+        world.run_until(|world| world.voters().contains(&name(new_machine)));
+        let leader = world.leader().expect("the leader that added the new voter");
         world.drop_messages_in_flight();
         world.isolate(leader);
         world.put(leader);
         world.stop(leader, 300);
         world.heal();
         world.run_for(8_000);
-        assert!(world.any_read_answered(), "seed {seed}: nobody leads");
+        assert!(world.any_read_answered(), "seed {seed}: no leader");
     }
 }
 
-/// A machine in another voter's zone does not take the place of one that is cut off for a while: the
-/// loss of that zone would take the majority.
+/// A partitioned voter is not replaced soon by a machine in the zone of another voter: the loss of
+/// that zone would remove the majority.
 #[test]
-fn a_voter_is_not_replaced_from_a_zone_that_holds_one() {
+fn voter_is_not_replaced_from_a_zone_that_has_one() {
     let mut world = World::with_machines(3, INITIAL_VOTERS);
     world.add(0);
     world.add(1);
@@ -126,58 +127,58 @@
     world.isolate(2);
     world.run_for(5_500);
     assert_eq!(world.voters(), initial_voters);
-    let fitting = world.add(2);
+    let suitable = world.add(2);
     world.run_for(1_000);
     assert!(
-        world.voters().contains(&name(fitting)),
-        "a machine in the lost voter's zone is let in"
+        world.voters().contains(&name(suitable)),
+        "a machine in the lost voter's zone becomes a voter"
     );
     assert!(!world.voters().contains(&name(2)));
 }
 
-/// When nobody better stands by for long, any machine takes the place, and gives it back to a
-/// machine in the empty zone later.
+/// If no better machine is available for long, any machine replaces the voter, and is replaced
+/// later by a machine in the empty zone.
 #[test]
-fn voters_are_spread_over_the_zones_again() {
+fn voters_are_spread_over_the_zones_after_a_partition() {
     let mut world = World::with_machines(4, INITIAL_VOTERS);
     let spare = world.add(0);
     world.run_for(3_000);
     world.isolate(2);
     world.run_for(10_000);
-    assert!(world.voters().contains(&name(spare)), "no machine of the third zone is left");
+    assert!(world.voters().contains(&name(spare)), "no machine of the third zone is connected");
     world.heal();
     world.run_for(3_000);
     assert_eq!(world.voters().len(), INITIAL_VOTERS);
     let zones = (0..INITIAL_VOTERS + 1).filter(|one| world.voters().contains(&name(*one)));
     let zones: std::collections::BTreeSet<usize> = zones.map(|one| one % ZONES).collect();
-    assert_eq!(zones.len(), ZONES, "each zone holds one: {:?}", world.voters());
+    assert_eq!(zones.len(), ZONES, "each zone has one voter: {:?}", world.voters());
 }
 
-/// All machines lose power while the lost voter and its successor both count: the three that come
-/// back are a majority of the four.
+/// All machines lose power while the lost voter and its successor are both voters: the three that
+/// restart are a majority of the four.
 #[test]
-fn a_loss_of_power_in_the_middle_of_a_replacement_is_borne() {
+fn power_loss_during_a_replacement_is_tolerated() {
     for seed in seeds(SEEDS) {
         let mut world = World::with_machines(seed, INITIAL_VOTERS);
         world.run_for(3_000);
         put_everywhere(&mut world);
         world.run_for(500);
-        let gone = (seed as usize) % INITIAL_VOTERS;
-        let newcomer = world.replace(gone, PAUSE);
-        world.run_until(|world| world.voters().contains(&name(newcomer)));
+        let lost = (seed as usize) % INITIAL_VOTERS;
+        let new_machine = world.replace(lost, RESTART_PAUSE_MS);
+        world.run_until(|world| world.voters().contains(&name(new_machine)));
         assert_eq!(
             world.voters().len(),
             INITIAL_VOTERS + 1,
-            "seed {seed}: one added, none removed yet"
+            "seed {seed}: one voter added, none removed yet"
         );
-        for machine in (0..world.machines.len()).filter(|machine| *machine != gone) {
+        for machine in (0..world.machines.len()).filter(|machine| *machine != lost) {
             world.machines[machine].disk.simulate_power_loss(0);
             world.stop(machine, 600);
         }
         world.run_for(12_000);
         assert!(world.acknowledged > 0);
-        assert!(world.any_read_answered(), "seed {seed}: nobody leads after the loss of power");
+        assert!(world.any_read_answered(), "seed {seed}: no leader after the power loss");
         assert_eq!(world.voters().len(), INITIAL_VOTERS, "seed {seed}: the lost voter is removed");
-        assert!(!world.voters().contains(&name(gone)), "seed {seed}");
+        assert!(!world.voters().contains(&name(lost)), "seed {seed}");
     }
 }
--- a/crates/coordinator/tests/replicas.rs
+++ b/crates/coordinator/tests/replicas.rs
@@ -1,5 +1,6 @@
-//! Control replicas under a seeded scheduler: kills, losses of power, wiped disks, cuts and full
-//! disks. What was acknowledged is never lost and never read older, whoever votes.
+//! Control replicas under a seeded scheduler: process kills, power losses, wiped disks, partitions
+//! and full disks. An acknowledged configuration is never lost, and no later read returns an older
+//! one, whichever machines are voters.
 
 mod support;
 
@@ -11,17 +12,17 @@
     INITIAL_VOTERS, MACHINES, PendingRequest, TICK_MS, World, document_text, name, seeds,
 };
 
-/// Seeds that every run plays.
+/// Number of seeds in a default run.
 const SEEDS: u64 = 60;
 /// Length of a run with faults, in milliseconds.
-const TROUBLE: u64 = 40_000;
-/// Time to come to rest afterwards.
-const REST: u64 = 25_000;
+const FAULT_TIME_MS: u64 = 40_000;
+/// Time to recover afterwards.
+const RECOVERY_TIME_MS: u64 = 25_000;
 
-fn play(seed: u64) -> u64 {
+fn run_with_faults(seed: u64) -> u64 {
     let mut world = World::new(seed);
     world.run_for(3_000);
-    let end = world.now + TROUBLE;
+    let end = world.now + FAULT_TIME_MS;
     while world.now < end {
         let pause = world.rng.random_range(50..700);
         world.run_for(pause);
@@ -34,20 +35,20 @@
         }
     }
     world.heal();
-    world.run_for(REST);
-    assert!(world.any_read_answered(), "seed {seed}: nobody answers a read at the end");
+    world.run_for(RECOVERY_TIME_MS);
+    assert!(world.any_read_answered(), "seed {seed}: no read answered at the end");
     world.acknowledged
 }
 
 #[test]
-fn what_was_acknowledged_is_never_lost_nor_read_older() {
-    let acknowledged: u64 = seeds(SEEDS).map(play).sum();
-    assert!(acknowledged > SEEDS * 5, "too little was acknowledged: {acknowledged}");
+fn acknowledged_changes_are_never_lost_nor_read_stale() {
+    let acknowledged: u64 = seeds(SEEDS).map(run_with_faults).sum();
+    assert!(acknowledged > SEEDS * 5, "too few acknowledged: {acknowledged}");
 }
 
-/// A lease that was granted before all replicas ended can't be held by anyone afterwards.
+/// After a restart of all replicas no replica can hold a lease from before it.
 #[test]
-fn a_group_that_restarts_as_a_whole_does_not_wait_for_an_old_lease() {
+fn full_restart_does_not_wait_for_an_old_lease() {
     for seed in 0..20 {
         let mut world = World::new(seed);
         world.run_for(3_000);
@@ -60,33 +61,29 @@
             world.run_for(TICK_MS);
         }
         let took = world.now - started;
-        assert!(took < 650, "seed {seed}: {took} ms until one leads");
+        assert!(took < 650, "seed {seed}: {took} ms until a leader was elected");
     }
 }
 
-/// A voter that can't be asked may hold a lease, so the others wait for it to run out.
+/// An unreachable voter may hold a lease, so the others wait until it expires.
 #[test]
-fn a_leader_out_of_sight_keeps_its_lease_when_the_others_restart() {
+fn isolated_leader_keeps_its_lease_when_others_restart() {
     for seed in 0..20 {
         let mut world = World::new(seed);
         world.run_for(3_000);
-        let leader = world.leader().expect("one leads");
+        let leader = world.leader().expect("a leader");
         world.isolate(leader);
         for other in (0..MACHINES).filter(|other| *other != leader) {
             world.stop(other, 0);
         }
-        // No two may lead at any moment, which every step looks at.
+        // Every step checks that there is at most one leader.
         world.run_for(3_000);
-        assert_eq!(
-            world.active_leader_count(),
-            1,
-            "seed {seed}: the others have elected one by now"
-        );
+        assert_eq!(world.active_leader_count(), 1, "seed {seed}: the others have elected a leader");
     }
 }
 
 #[test]
-fn a_voter_that_is_gone_for_good_is_replaced() {
+fn permanently_lost_voter_is_replaced() {
     let mut world = World::new(7);
     world.run_for(3_000);
     world.put(0);
@@ -101,16 +98,16 @@
         .filter(|replica| replica.leads(Timestamp(world.now)))
         .map(|replica| replica.voters().clone())
         .next()
-        .expect("the others have a leader");
+        .expect("a leader among the others");
     assert_eq!(voters.len(), INITIAL_VOTERS);
-    assert!(!voters.contains_key(&name(0)), "the one that is gone votes no more");
+    assert!(!voters.contains_key(&name(0)), "the lost machine is still a voter");
     world.stop(1, u64::MAX / 2);
     world.run_for(3_000);
-    assert!(world.any_read_answered(), "the newcomer makes a majority with the last founder");
+    assert!(world.any_read_answered(), "no majority of the new voter and the last initial voter");
 }
 
 #[test]
-fn a_wiped_voter_counts_again_only_under_its_new_identity() {
+fn wiped_voter_counts_only_under_its_new_identity() {
     let mut world = World::new(11);
     world.run_for(3_000);
     world.put(0);
@@ -119,13 +116,13 @@
     world.run_for(500);
     world.lose_disk(1, 500);
     world.run_for(8_000);
-    let wiped = world.machines[1].replica.as_ref().expect("it runs again");
+    let wiped = world.machines[1].replica.as_ref().expect("running again");
     assert!(wiped.is_voter());
     assert_ne!(wiped.voters()[&name(1)], stackpost_consensus::INITIAL_IDENTITY);
 }
 
 #[test]
-fn other_content_under_a_held_version_changes_nothing() {
+fn other_content_under_a_known_version_changes_nothing() {
     let mut world = World::new(3);
     world.run_for(3_000);
     for machine in 0..INITIAL_VOTERS {
@@ -141,14 +138,14 @@
         world.send_event(machine, ReplicaEvent::Put { token, bytes });
     }
     world.run_for(1_000);
-    // The read compares the content, too.
+    // The read also compares the content.
     assert!(world.any_read_answered());
 }
 
-/// What was committed is known after a restart, without any other replica: routers that are out of
-/// touch for long take what such a replica holds.
+/// A restarted replica knows what was committed without any other replica: routers that are
+/// disconnected from the leader for long accept the configuration of such a replica.
 #[test]
-fn a_replica_that_restarts_alone_knows_what_was_committed() {
+fn replica_that_restarts_alone_knows_committed_changes() {
     for seed in seeds(20) {
         let mut world = World::with_machines(seed, INITIAL_VOTERS);
         world.run_for(3_000);
@@ -166,9 +163,13 @@
         }
         world.run_for(3_000);
         for machine in &world.machines {
-            let replica = machine.replica.as_ref().expect("it runs again");
+            let replica = machine.replica.as_ref().expect("running again");
             let known = replica.state().document_version();
-            assert!(known >= world.acknowledged, "seed {seed}: {} knows {known}", machine.name);
+            assert!(
+                known >= world.acknowledged,
+                "seed {seed}: {} has version {known}",
+                machine.name
+            );
         }
     }
 }
--- a/crates/coordinator/tests/router_peers.rs
+++ b/crates/coordinator/tests/router_peers.rs
@@ -1,4 +1,4 @@
-//! Which other routers a router is told of.
+//! Selection of a router's peers.
 
 use stackpost_coordinator::{PEERS_PER_ROUTER, select_peers};
 use stackpost_gateway_core::RouterEndpoint;
@@ -19,16 +19,16 @@
 }
 
 #[test]
-fn routers_of_the_own_zone_come_first() {
+fn routers_of_the_own_zone_are_selected_first() {
     let endpoints = endpoints(&[("east", 4), ("west", 130)]);
     let peers = select_peers(&endpoints, &endpoint("east", 1_001));
     assert_eq!(peers.len(), PEERS_PER_ROUTER);
     let in_zone: Vec<u16> = peers[..3].iter().map(|address| address.port()).collect();
-    assert_eq!(in_zone, [1_002, 1_003, 1_000], "each router begins with another one");
+    assert_eq!(in_zone, [1_002, 1_003, 1_000], "each router's list starts with a different peer");
 }
 
 #[test]
-fn no_router_is_told_of_itself() {
+fn router_is_never_its_own_peer() {
     let alone = endpoints(&[("east", 1)]);
     assert!(select_peers(&alone, &alone[0]).is_empty());
     let many = endpoints(&[("east", 20)]);
--- a/crates/coordinator/tests/support/mod.rs
+++ b/crates/coordinator/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! Control replicas with their disks and the network between them, on one virtual clock.
+//! Control replicas with simulated disks and a simulated network, on one virtual clock.
 
-#![allow(dead_code)] // Each test file uses a part.
+#![allow(dead_code)] // Each test file uses only a part.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -20,15 +20,15 @@
 /// Time between two ticks, in milliseconds.
 pub const TICK_MS: u64 = 25;
 
-/// The seeds of a test: `count` of them from zero on, unless STACKPOST_SEED_OFFSET and
-/// STACKPOST_SEED_COUNT say otherwise.
+/// The seeds of a test: `count` seeds starting from zero, unless overridden by
+/// STACKPOST_SEED_OFFSET and STACKPOST_SEED_COUNT.
 pub fn seeds(count: u64) -> std::ops::Range<u64> {
     let given = |name: &str| std::env::var(name).ok()?.parse::<u64>().ok();
     let first = given("STACKPOST_SEED_OFFSET").unwrap_or(0);
     first..first + given("STACKPOST_SEED_COUNT").unwrap_or(count)
 }
 
-/// Documents of the test are their version as text.
+/// Test documents are their version as text.
 struct TextDocuments;
 
 impl DocumentCodec for TextDocuments {
@@ -62,10 +62,10 @@
     pub replica: Option<Replica<MemoryDisk>>,
     pub restart_at: u64,
     pub zone: ZoneName,
-    /// Until when the machine is suspended: it does nothing, and what is sent to it waits.
+    /// End of the machine's suspension. Until then it does nothing, and messages to it are delayed.
     pub suspended_until: u64,
-    /// What its clock has missed. Zero, unless the clock stands still in suspension.
-    pub clock_behind: u64,
+    /// Time by which its clock lags. Zero, unless the clock stops during suspension.
+    pub clock_lag: u64,
 }
 
 impl Machine {
@@ -73,7 +73,7 @@
         let zone = ZoneName::new(format!("zone-{zone}"));
         let disk = MemoryDisk::default();
         let name = name(machine);
-        Self { name, disk, replica: None, restart_at: 0, zone, suspended_until: 0, clock_behind: 0 }
+        Self { name, disk, replica: None, restart_at: 0, zone, suspended_until: 0, clock_lag: 0 }
     }
 }
 
@@ -81,21 +81,21 @@
     pub now: u64,
     pub rng: ChaCha8Rng,
     pub machines: Vec<Machine>,
-    /// Pairs that can't reach one another.
-    cut: BTreeSet<(usize, usize)>,
+    /// Pairs of machines that can't reach each other.
+    partitioned: BTreeSet<(usize, usize)>,
     in_flight: BTreeMap<(u64, u64), (usize, Envelope)>,
     sent: u64,
     next_version: u64,
-    asked: BTreeMap<u64, PendingRequest>,
+    pending: BTreeMap<u64, PendingRequest>,
     pub acknowledged: u64,
     next_token: u64,
-    founded: bool,
+    is_started: bool,
 }
 
 #[derive(Clone, Copy)]
 pub enum PendingRequest {
     Put(u64),
-    /// A read with what had been acknowledged when it was asked.
+    /// A read, with the highest version that was acknowledged when it was sent.
     Read(u64),
 }
 
@@ -104,36 +104,36 @@
 }
 
 impl World {
-    /// A new fleet with machines to spare.
+    /// A new fleet with standby machines.
     pub fn new(seed: u64) -> Self {
         Self::with_machines(seed, MACHINES)
     }
 
-    /// A new fleet of `count` machines, of which the first ones found the group.
+    /// A new fleet of `count` machines, of which the first ones are the initial voters.
     pub fn with_machines(seed: u64, count: usize) -> Self {
         let machines = (0..count).map(|machine| Machine::empty(machine, machine % ZONES)).collect();
         let mut world = Self {
             now: 1_000,
             rng: ChaCha8Rng::seed_from_u64(seed),
             machines,
-            cut: BTreeSet::new(),
+            partitioned: BTreeSet::new(),
             in_flight: BTreeMap::new(),
             sent: 0,
             next_version: 1,
-            asked: BTreeMap::new(),
+            pending: BTreeMap::new(),
             acknowledged: 0,
             next_token: 1,
-            founded: false,
+            is_started: false,
         };
         for machine in 0..count {
             world.start(machine);
         }
-        world.founded = true;
+        world.is_started = true;
         world
     }
 
     pub fn start(&mut self, machine: usize) {
-        let initial_voters = (!self.founded).then(|| (0..INITIAL_VOTERS).map(name).collect());
+        let initial_voters = (!self.is_started).then(|| (0..INITIAL_VOTERS).map(name).collect());
         let config = ReplicaConfig {
             name: name(machine),
             initial_voters,
@@ -149,56 +149,56 @@
         };
         let disk = self.machines[machine].disk.clone();
         let replica = Replica::open(config, disk, Timestamp(self.now));
-        // A folder that can't be written yet is opened again later.
+        // A data folder that can't be opened now is opened again later.
         self.machines[machine].restart_at = self.now + 300;
         self.machines[machine].replica = replica.ok();
     }
 
-    /// Takes a machine away for good; after `pause` an empty one starts at another address.
+    /// Removes a machine permanently; after `pause` an empty one starts under another name.
     pub fn replace(&mut self, machine: usize, pause: u64) -> usize {
         self.stop(machine, u64::MAX / 2);
-        let newcomer = self.machines.len();
-        self.machines.push(Machine::empty(newcomer, 0));
-        self.machines[newcomer].zone = self.machines[machine].zone.clone();
-        self.machines[newcomer].restart_at = self.now + pause;
-        newcomer
+        let new_machine = self.machines.len();
+        self.machines.push(Machine::empty(new_machine, 0));
+        self.machines[new_machine].zone = self.machines[machine].zone.clone();
+        self.machines[new_machine].restart_at = self.now + pause;
+        new_machine
     }
 
-    /// Ends a machine's process for `down` milliseconds and takes everything on its disk.
-    pub fn lose_disk(&mut self, machine: usize, down: u64) {
+    /// Stops a machine's process for `downtime` milliseconds and erases its disk.
+    pub fn lose_disk(&mut self, machine: usize, downtime: u64) {
         self.machines[machine].disk.erase();
-        self.stop(machine, down);
+        self.stop(machine, downtime);
     }
 
-    /// Adds an empty machine in a zone, which starts at once.
+    /// Adds an empty machine in a zone, which starts at the next tick.
     pub fn add(&mut self, zone: usize) -> usize {
-        let newcomer = self.machines.len();
-        self.machines.push(Machine::empty(newcomer, zone));
-        newcomer
+        let new_machine = self.machines.len();
+        self.machines.push(Machine::empty(new_machine, zone));
+        new_machine
     }
 
-    /// Loses all messages that are on their way.
+    /// Drops all messages in flight.
     pub fn drop_messages_in_flight(&mut self) {
         self.in_flight.clear();
     }
 
-    /// Who votes, as the leader knows it.
+    /// The voters according to the leader.
     pub fn voters(&self) -> BTreeSet<MachineName> {
         let leader = self.leader().and_then(|leader| self.machines[leader].replica.as_ref());
         leader.map_or_else(BTreeSet::new, |leader| leader.voters().keys().cloned().collect())
     }
 
-    /// The machine that certainly leads.
+    /// The machine that holds the lease.
     pub fn leader(&self) -> Option<usize> {
         self.lease_holders().first().copied()
     }
 
-    /// Suspends a machine. `clock_goes_on` tells whether the clock that its replica reads counts that
-    /// time.
-    pub fn suspend(&mut self, machine: usize, time: u64, clock_goes_on: bool) {
+    /// Suspends a machine. `clock_advances` sets whether the clock of its replica includes the time
+    /// of the suspension.
+    pub fn suspend(&mut self, machine: usize, time: u64, clock_advances: bool) {
         self.machines[machine].suspended_until = self.now + time;
-        if !clock_goes_on {
-            self.machines[machine].clock_behind += time;
+        if !clock_advances {
+            self.machines[machine].clock_lag += time;
         }
     }
 
@@ -206,12 +206,12 @@
         self.now < self.machines[machine].suspended_until
     }
 
-    /// What a machine's clock shows.
+    /// The time by a machine's clock.
     fn clock(&self, machine: usize) -> Timestamp {
-        Timestamp(self.now - self.machines[machine].clock_behind)
+        Timestamp(self.now - self.machines[machine].clock_lag)
     }
 
-    /// The machines that hold themselves for the leader, by their own clocks.
+    /// The machines that consider themselves the leader, by their own clocks.
     pub fn lease_holders(&self) -> Vec<usize> {
         let leads = |machine: &usize| {
             let replica = self.machines[*machine].replica.as_ref();
@@ -220,9 +220,9 @@
         (0..self.machines.len()).filter(leads).collect()
     }
 
-    pub fn stop(&mut self, machine: usize, down: u64) {
+    pub fn stop(&mut self, machine: usize, downtime: u64) {
         self.machines[machine].replica = None;
-        self.machines[machine].restart_at = self.now + down;
+        self.machines[machine].restart_at = self.now + downtime;
     }
 
     pub fn send_event(&mut self, machine: usize, event: ReplicaEvent) {
@@ -238,14 +238,14 @@
 
     fn carry_out(&mut self, machine: usize, effect: ReplicaEffect) {
         match effect {
-            ReplicaEffect::SendRaft(to, envelope) => self.post(machine, &to, envelope),
+            ReplicaEffect::SendRaft(to, envelope) => self.send_message(machine, &to, envelope),
             ReplicaEffect::PutReply(token, PutReply::Accepted) => {
-                if let Some(PendingRequest::Put(version)) = self.asked.remove(&token) {
+                if let Some(PendingRequest::Put(version)) = self.pending.remove(&token) {
                     self.acknowledged = self.acknowledged.max(version);
                 }
             }
             ReplicaEffect::ReadReply(token, ReadReply::Latest(document)) => {
-                if let Some(PendingRequest::Read(known)) = self.asked.remove(&token) {
+                if let Some(PendingRequest::Read(known)) = self.pending.remove(&token) {
                     let version = document.as_ref().map_or(0, |document| document.version);
                     assert!(version >= known, "read {version} after {known} was acknowledged");
                     if let Some(document) = document {
@@ -257,11 +257,11 @@
         }
     }
 
-    fn post(&mut self, from: usize, to: &MachineName, envelope: Envelope) {
+    fn send_message(&mut self, from: usize, to: &MachineName, envelope: Envelope) {
         let Some(to) = self.machines.iter().position(|machine| machine.name == *to) else {
             return;
         };
-        if self.is_cut(from, to) || self.rng.random_ratio(1, 50) {
+        if self.is_partitioned(from, to) || self.rng.random_ratio(1, 50) {
             return;
         }
         self.sent += 1;
@@ -269,8 +269,8 @@
         self.in_flight.insert((arrival, self.sent), (to, envelope));
     }
 
-    fn is_cut(&self, one: usize, other: usize) -> bool {
-        self.cut.contains(&(one.min(other), one.max(other)))
+    fn is_partitioned(&self, one: usize, other: usize) -> bool {
+        self.partitioned.contains(&(one.min(other), one.max(other)))
     }
 
     pub fn run_for(&mut self, time: u64) {
@@ -282,7 +282,7 @@
         }
     }
 
-    /// Lets time pass until `done`, which is looked at after each message.
+    /// Advances time until `done`, which is checked after each message.
     pub fn run_until(&mut self, done: impl Fn(&Self) -> bool) {
         while !done(self) {
             self.now += TICK_MS;
@@ -295,7 +295,7 @@
         }
     }
 
-    /// Delivers the oldest message that is due, if there is one.
+    /// Delivers the earliest message that is due, if any.
     fn deliver_next(&mut self) -> bool {
         let now = self.now;
         let Some(entry) = self.in_flight.first_entry().filter(|entry| entry.key().0 <= now) else {
@@ -304,8 +304,8 @@
         let (to, envelope) = entry.remove();
         if self.is_suspended(to) {
             self.sent += 1;
-            let wakes_at = self.machines[to].suspended_until;
-            self.in_flight.insert((wakes_at, self.sent), (to, envelope));
+            let resumes_at = self.machines[to].suspended_until;
+            self.in_flight.insert((resumes_at, self.sent), (to, envelope));
             return true;
         }
         self.send_event(to, ReplicaEvent::Raft(envelope));
@@ -317,8 +317,8 @@
             if self.is_suspended(machine) {
                 continue;
             }
-            let down = self.machines[machine].replica.is_none();
-            if down && self.now >= self.machines[machine].restart_at {
+            let is_down = self.machines[machine].replica.is_none();
+            if is_down && self.now >= self.machines[machine].restart_at {
                 self.start(machine);
             }
             let reachable = self.reachable(machine);
@@ -334,7 +334,7 @@
 
     fn reachable(&self, machine: usize) -> BTreeMap<MachineName, ZoneName> {
         (0..self.machines.len())
-            .filter(|other| *other != machine && !self.is_cut(machine, *other))
+            .filter(|other| *other != machine && !self.is_partitioned(machine, *other))
             .filter(|other| self.machines[*other].replica.is_some())
             .map(|other| (name(other), self.machines[other].zone.clone()))
             .collect()
@@ -353,9 +353,9 @@
         self.send_event(machine, ReplicaEvent::Read { token });
     }
 
-    pub fn token(&mut self, question: PendingRequest) -> u64 {
+    pub fn token(&mut self, request: PendingRequest) -> u64 {
         self.next_token += 1;
-        self.asked.insert(self.next_token, question);
+        self.pending.insert(self.next_token, request);
         self.next_token
     }
 
@@ -371,8 +371,8 @@
             2 => self.all_lose_power(),
             3 => self.wipe_disk_if_safe(machine),
             4 => self.isolate(machine),
-            5 => self.split(),
-            6 => self.cut.clear(),
+            5 => self.split_in_two(),
+            6 => self.partitioned.clear(),
             7 => self.machines[machine].disk.set_capacity(Some(2_000)),
             _ => self.machines.iter().for_each(|machine| machine.disk.set_capacity(None)),
         }
@@ -385,7 +385,7 @@
         }
     }
 
-    /// A disk is lost only while every voter counts: one loss is borne at once.
+    /// Erases a disk only while every voter has caught up: one loss at a time must be tolerated.
     pub fn wipe_disk_if_safe(&mut self, machine: usize) {
         let voters: BTreeSet<Vec<(MachineName, u64)>> = self
             .machines
@@ -395,14 +395,14 @@
             .map(|replica| replica.voters().clone().into_iter().collect())
             .collect();
         let settled = voters.len() == 1
-            && self.cut.is_empty()
+            && self.partitioned.is_empty()
             && self.machines.iter().all(|machine| machine.replica.is_some());
-        if settled && self.all_voters_count(&voters) {
+        if settled && self.have_all_voters_caught_up(&voters) {
             self.lose_disk(machine, 800);
         }
     }
 
-    fn all_voters_count(&self, voters: &BTreeSet<Vec<(MachineName, u64)>>) -> bool {
+    fn have_all_voters_caught_up(&self, voters: &BTreeSet<Vec<(MachineName, u64)>>) -> bool {
         let listed = voters.iter().flatten();
         listed.into_iter().all(|(voter, _)| {
             let held = self.machines.iter().find(|machine| machine.name == *voter);
@@ -415,33 +415,33 @@
 
     pub fn isolate(&mut self, machine: usize) {
         for other in (0..self.machines.len()).filter(|other| *other != machine) {
-            self.cut.insert((machine.min(other), machine.max(other)));
+            self.partitioned.insert((machine.min(other), machine.max(other)));
         }
     }
 
-    fn split(&mut self) {
+    fn split_in_two(&mut self) {
         for one in 0..self.machines.len() {
             for other in one + 1..self.machines.len() {
                 if one % 2 != other % 2 {
-                    self.cut.insert((one, other));
+                    self.partitioned.insert((one, other));
                 }
             }
         }
     }
 
     pub fn heal(&mut self) {
-        self.cut.clear();
+        self.partitioned.clear();
         self.machines.iter().for_each(|machine| machine.disk.set_capacity(None));
     }
 
     pub fn any_read_answered(&mut self) -> bool {
-        self.asked.clear();
+        self.pending.clear();
         for machine in 0..self.machines.len() {
             self.read(machine);
         }
-        let asked = self.asked.len();
+        let pending = self.pending.len();
         self.run_for(2_000);
-        self.asked.len() < asked
+        self.pending.len() < pending
     }
 }
 
--- a/crates/coordinator/tests/suspension.rs
+++ b/crates/coordinator/tests/suspension.rs
@@ -1,32 +1,32 @@
-//! Machines that are suspended for seconds and wake up.
+//! Machines that are suspended for seconds and resume.
 //!
-//! The replica reads a clock that counts that time (`stackpost_clock::BootInstant`). With one that stands
-//! still, a leader that wakes holds its lease for valid while another one leads: the last test shows that
-//! the checks here would see it.
+//! The replica reads a clock that includes the time of a suspension
+//! (`stackpost_clock::BootInstant`). With a clock that stops, a leader that resumes would consider
+//! its lease valid while another replica leads; the last test shows that the checks in this file
+//! detect this.
 
 mod support;
 
 use rand::Rng;
 use support::*;
 
-/// Longer than an election.
-const SUSPENDED: u64 = 3_000;
-const SETTLED: u64 = 3_000;
+/// Longer than an election takes.
+const SUSPENSION_MS: u64 = 3_000;
+const SETTLE_TIME_MS: u64 = 3_000;
 
-fn led_world(seed: u64) -> (World, usize) {
+fn world_with_leader(seed: u64) -> (World, usize) {
     let mut world = World::new(seed);
-    world.run_for(SETTLED);
-    let leader = world.leader().expect("one leads");
+    world.run_for(SETTLE_TIME_MS);
+    let leader = world.leader().expect("a leader");
     world.put(leader);
     world.run_for(500);
     (world, leader)
 }
 
-/// Runs until another machine leads, and has it acknowledge a change.
+/// Runs until another machine leads, and lets it acknowledge a change.
 fn change_at_successor(world: &mut World, former: usize) -> usize {
     world.run_until(|world| world.lease_holders().iter().any(|leader| *leader != former));
-    let leader =
-        *world.lease_holders().iter().find(|leader| **leader != former).expect("one leads");
+    let leader = *world.lease_holders().iter().find(|leader| **leader != former).expect("a leader");
     let before = world.acknowledged;
     world.put(leader);
     world.run_until(|world| world.acknowledged > before);
@@ -34,73 +34,75 @@
 }
 
 #[test]
-fn a_leader_that_wakes_leads_no_more_and_hands_out_nothing_older() {
+fn resumed_leader_steps_down_and_serves_nothing_stale() {
     for seed in seeds(20) {
-        let (mut world, former) = led_world(seed);
-        world.suspend(former, SUSPENDED, true);
+        let (mut world, former) = world_with_leader(seed);
+        world.suspend(former, SUSPENSION_MS, true);
         change_at_successor(&mut world, former);
-        world.run_for(SUSPENDED.saturating_sub(TICK_MS));
-        // Before it has heard anything: a read checks that nothing older than acknowledged comes.
+        world.run_for(SUSPENSION_MS.saturating_sub(TICK_MS));
+        // No message has been delivered yet: the read checks that no version older than the
+        // acknowledged one is returned.
         assert!(!world.lease_holders().contains(&former), "seed {seed}");
         world.read(former);
-        world.run_for(SETTLED);
+        world.run_for(SETTLE_TIME_MS);
         assert_eq!(world.lease_holders().len(), 1, "seed {seed}");
     }
 }
 
 #[test]
-fn a_follower_that_wakes_follows() {
+fn resumed_follower_follows() {
     for seed in seeds(20) {
-        let (mut world, leader) = led_world(seed);
+        let (mut world, leader) = world_with_leader(seed);
         let follower = (leader + 1) % INITIAL_VOTERS;
-        world.suspend(follower, SUSPENDED, true);
+        world.suspend(follower, SUSPENSION_MS, true);
         for _ in 0..4 {
             world.put(leader);
-            world.run_for(SUSPENDED / 2);
+            world.run_for(SUSPENSION_MS / 2);
         }
-        world.run_for(SETTLED);
-        let leader = world.leader().expect("one leads");
+        world.run_for(SETTLE_TIME_MS);
+        let leader = world.leader().expect("a leader");
         world.read(leader);
-        world.run_for(SETTLED);
+        world.run_for(SETTLE_TIME_MS);
         assert_eq!(world.lease_holders().len(), 1, "seed {seed}");
     }
 }
 
-/// Any machine at any time, several at once, with a loss of power of all of them at the end.
+/// Suspends any machine at any time, also several at once, with a power loss of all machines at the
+/// end.
 #[test]
-fn what_was_acknowledged_outlives_suspensions_and_a_loss_of_power() {
+fn acknowledged_changes_survive_suspensions_and_power_loss() {
     for seed in seeds(20) {
         let mut world = World::with_machines(seed, INITIAL_VOTERS);
-        world.run_for(SETTLED);
+        world.run_for(SETTLE_TIME_MS);
         for _ in 0..12 {
             let machine = world.rng.random_range(0..INITIAL_VOTERS);
-            let time = world.rng.random_range(100..2 * SUSPENDED);
+            let time = world.rng.random_range(100..2 * SUSPENSION_MS);
             world.suspend(machine, time, true);
-            let asked = world.rng.random_range(0..INITIAL_VOTERS);
-            world.put(asked);
-            world.read(asked);
-            let pause = world.rng.random_range(50..SUSPENDED);
+            let target = world.rng.random_range(0..INITIAL_VOTERS);
+            world.put(target);
+            world.read(target);
+            let pause = world.rng.random_range(50..SUSPENSION_MS);
             world.run_for(pause);
         }
-        world.run_for(2 * SUSPENDED);
+        world.run_for(2 * SUSPENSION_MS);
         for machine in 0..INITIAL_VOTERS {
             world.machines[machine].disk.simulate_power_loss(0);
             world.stop(machine, 1_000);
         }
-        world.run_for(2 * SETTLED);
-        let leader = world.leader().expect("one leads");
+        world.run_for(2 * SETTLE_TIME_MS);
+        let leader = world.leader().expect("a leader");
         world.read(leader);
-        world.run_for(SETTLED);
+        world.run_for(SETTLE_TIME_MS);
         let version =
-            world.machines[leader].replica.as_ref().expect("up").state().document_version();
+            world.machines[leader].replica.as_ref().expect("running").state().document_version();
         assert!(version >= world.acknowledged, "seed {seed}");
     }
 }
 
 #[test]
-fn a_clock_that_stands_still_in_suspension_would_show_two_leaders() {
-    let (mut world, former) = led_world(1);
-    world.suspend(former, SUSPENDED, false);
+fn clock_that_stops_in_suspension_shows_two_leaders() {
+    let (mut world, former) = world_with_leader(1);
+    world.suspend(former, SUSPENSION_MS, false);
     change_at_successor(&mut world, former);
     let lease_holders = world.lease_holders();
     assert!(lease_holders.contains(&former) && lease_holders.len() == 2, "{lease_holders:?}");
