--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -1,4 +1,4 @@
-//! Elections: pre-vote, vote, and the change of roles.
+//! Elections: pre-votes, votes, and changes of role.
 
 use crate::election_event::{ElectionEvent, VoteRefusal};
 use crate::message::*;
@@ -19,8 +19,8 @@
         self.reset_campaign_timer();
     }
 
-    /// Asks whether a campaign could succeed. A replica that was cut off thus returns without
-    /// forcing a healthy leader out of its term.
+    /// Asks the voters whether a campaign could succeed. A replica that was partitioned thus
+    /// rejoins without deposing a healthy leader.
     pub(crate) fn start_pre_vote(&mut self) {
         self.role = Role::PreCandidate;
         self.leader = None;
@@ -58,9 +58,9 @@
         last_term: Term,
     ) {
         let refusal = self.pre_vote_refusal(&from, term, last_index, last_term);
-        let would = matches!(refusal, None | Some(VoteRefusal::LeaseMayBeActive));
+        let would_grant = matches!(refusal, None | Some(VoteRefusal::LeaseMayBeActive));
         let granted = refusal.is_none();
-        let just_started = would && self.has_only_started();
+        let just_started = would_grant && self.may_ignore_earlier_promise();
         if let Some(reason) = refusal {
             self.record_refusal(&from, reason);
         }
@@ -71,8 +71,8 @@
         self.send(from, Message::PreVoteReply { term, granted, just_started });
     }
 
-    /// Why this replica would not vote for `candidate`. A lease comes last: all else keeps a
-    /// replica from voting whether it has only started or not.
+    /// Reason for which this replica would not vote for `candidate`. The lease is checked last,
+    /// because the other reasons hold whether or not this replica has just started.
     fn pre_vote_refusal(
         &self,
         candidate: &MachineName,
@@ -86,18 +86,19 @@
         if term <= self.hard_state.term {
             return Some(VoteRefusal::StaleTerm);
         }
-        if self.goes_first(candidate, last_index, last_term) {
+        if self.has_priority_over(candidate, last_index, last_term) {
             return Some(VoteRefusal::OwnCampaign);
         }
         self.has_live_leader().then_some(VoteRefusal::LeaseMayBeActive)
     }
 
-    /// Why this replica votes for no candidate with such a log, whatever the term. It need not know
-    /// that it votes: the candidate's log says whose votes count.
+    /// Reason for which this replica votes for no candidate with such a log, whatever the term.
+    /// Whether this replica is a voter is not checked: the candidate's log decides whose votes
+    /// count.
     fn vote_refusal(&self, last_index: LogIndex, last_term: Term) -> Option<VoteRefusal> {
         let own = self.log.last_index();
-        let behind = VoteRefusal::CandidateBehind { candidate: last_index, own };
-        (!self.is_up_to_date(last_index, last_term)).then_some(behind)
+        let candidate_behind = VoteRefusal::CandidateBehind { candidate: last_index, own };
+        (!self.is_up_to_date(last_index, last_term)).then_some(candidate_behind)
     }
 
     pub(crate) fn on_pre_vote_reply(
@@ -128,12 +129,13 @@
         last_term: Term,
     ) {
         if term > self.hard_state.term {
-            // Not observed as a newer term because a leader's lease runs: no answer, no change.
+            // The newer term was not adopted because a leader may hold a lease: no reply and no
+            // change.
             self.record_refusal(&from, VoteRefusal::LeaseMayBeActive);
             return;
         }
-        let given = self.hard_state.voted_for.clone().filter(|candidate| *candidate != from);
-        let refusal = match given {
+        let voted_for = self.hard_state.voted_for.clone().filter(|candidate| *candidate != from);
+        let refusal = match voted_for {
             Some(other) => Some(VoteRefusal::AlreadyVoted(other)),
             None if self.role != Role::Follower => Some(VoteRefusal::OwnCampaign),
             None => self.vote_refusal(last_index, last_term),
@@ -156,9 +158,10 @@
         }
     }
 
-    /// A majority that has heard of no leader for the length of a lease is enough. Right after a
-    /// start it takes the word of every voter that none of them leads: whoever held a lease is one
-    /// of them, so no lease is left, whatever a voter had promised before it started.
+    /// A majority that has received nothing from a leader for the length of a lease is enough.
+    /// After a restart it is also enough that every voter replies that it is not the leader:
+    /// whoever held a lease is one of the voters, so no lease is left, whatever a voter had
+    /// promised before its restart.
     fn count_pre_votes(&mut self) {
         let no_live_leader = self.voters().keys().all(|voter| self.just_started.contains(voter));
         if no_live_leader || self.votes.len() >= self.quorum() {
@@ -175,7 +178,7 @@
     fn become_leader(&mut self) {
         self.role = Role::Leader;
         self.elections.push(ElectionEvent::Elected { term: self.hard_state.term });
-        self.heard_leader = true;
+        self.has_seen_leader = true;
         self.leader = Some(self.config.name.clone());
         self.leader_since = self.now;
         self.reads.clear();
@@ -183,23 +186,27 @@
         let next = self.log.last_index() + 1;
         let others = self.other_voters().into_iter();
         self.progress = others.map(|name| (name, Progress::starting_at(next, self.now))).collect();
-        // Entries of earlier terms commit only together with one of this term (Raft, 5.4.2).
+        // Entries of earlier terms are committed only together with one of this term (Raft, 5.4.2).
         self.append_own(Payload::Empty);
         self.begin_round();
         self.broadcast_append();
     }
 
-    /// Whether this replica asks for pre-votes itself and should win against `other`. If both
+    /// Whether this replica requests pre-votes itself and has priority over `other`. If both
     /// granted each other's pre-vote, both would campaign in the same term and neither could win.
-    fn goes_first(&self, other: &MachineName, last_index: LogIndex, last_term: Term) -> bool {
+    fn has_priority_over(
+        &self,
+        other: &MachineName,
+        last_index: LogIndex,
+        last_term: Term,
+    ) -> bool {
         let equal_log = (last_term, last_index) == (self.log.last_term(), self.log.last_index());
         self.role == Role::PreCandidate && equal_log && self.config.name < *other
     }
 
-    /// Whether all that keeps this replica from voting is what it may have promised before it
-    /// started.
-    pub(crate) fn has_only_started(&self) -> bool {
-        self.role != Role::Leader && !self.heard_leader
+    /// Whether nothing but a promise from before its start can keep this replica from voting.
+    pub(crate) fn may_ignore_earlier_promise(&self) -> bool {
+        self.role != Role::Leader && !self.has_seen_leader
     }
 
     fn has_live_leader(&self) -> bool {
--- a/crates/consensus/src/election_event.rs
+++ b/crates/consensus/src/election_event.rs
@@ -1,10 +1,10 @@
-//! What happened in elections, for logs. Nothing rests on these events.
+//! Events of elections, for logging only. The algorithm does not depend on them.
 
 use crate::message::{LogIndex, Term};
 use stackpost_types::MachineName;
 use std::fmt;
 
-/// Why a replica does not vote for a candidate.
+/// Reason for which a replica does not vote for a candidate.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum VoteRefusal {
     /// The candidate lacks entries that this replica holds.
@@ -16,11 +16,12 @@
     },
     /// The candidate's term is not newer than this replica's.
     StaleTerm,
-    /// A leader has been heard so lately that it may hold a lease, or this replica leads.
+    /// This replica leads, or the last contact with a leader is so recent that the leader may hold
+    /// a lease.
     LeaseMayBeActive,
-    /// This replica has an equal log and campaigns itself; its name goes first.
+    /// This replica campaigns itself. In a pre-vote it has an equal log and priority by its name.
     OwnCampaign,
-    /// The vote of this term has been given to another candidate.
+    /// The vote of this term was given to another candidate.
     AlreadyVoted(MachineName),
 }
 
@@ -28,12 +29,12 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::CandidateBehind { candidate, own } => {
-                write!(formatter, "the candidate's log ends at {candidate}, the own one at {own}")
+                write!(formatter, "the candidate's log ends at {candidate}, the own log at {own}")
             }
-            Self::StaleTerm => write!(formatter, "the candidate's term is old"),
+            Self::StaleTerm => write!(formatter, "the candidate's term is stale"),
             Self::LeaseMayBeActive => write!(formatter, "a leader may hold a lease"),
             Self::OwnCampaign => write!(formatter, "this replica campaigns itself"),
-            Self::AlreadyVoted(machine) => write!(formatter, "the vote went to {machine}"),
+            Self::AlreadyVoted(machine) => write!(formatter, "already voted for {machine}"),
         }
     }
 }
@@ -41,40 +42,40 @@
 /// One event of an election.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ElectionEvent {
-    /// This replica asks whether a campaign could succeed.
+    /// This replica requests pre-votes.
     PreVoteRequested {
-        /// The term that it would campaign in.
+        /// The term in which it would campaign.
         term: Term,
     },
     /// This replica campaigns.
     Campaigned {
-        /// The term.
+        /// The term of the campaign.
         term: Term,
     },
-    /// This replica leads.
+    /// This replica was elected leader.
     Elected {
-        /// The term.
+        /// The term in which it leads.
         term: Term,
     },
-    /// This replica does not vote, or would not vote, for a candidate.
+    /// This replica refused a vote or pre-vote.
     Refused {
         /// The candidate.
         candidate: MachineName,
-        /// Why.
+        /// The reason.
         reason: VoteRefusal,
     },
-    /// A voter has answered this candidate from another data folder than the one that counts.
+    /// A voter has replied to this candidate under another identity than the one that counts.
     UncountedVote {
         /// The voter.
         voter: MachineName,
-        /// The identity that answered.
+        /// The identity in the reply.
         identity: u64,
         /// The identity that counts.
         counted: u64,
     },
-    /// This replica leads no more, because no majority has answered it for an election timeout.
+    /// This replica stepped down because no majority had replied for an election timeout.
     LostQuorum {
-        /// The term that it led.
+        /// The term in which it led.
         term: Term,
     },
 }
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -6,9 +6,10 @@
 //! drains [`Raft::ready`]: it makes the [`Ready`]'s hard state, snapshot and entries durable,
 //! calls [`Raft::advance`], and only then sends the messages and applies the committed entries.
 //!
-//! Each replica votes under an identity that is drawn anew with its data folder. The log itself names
-//! the voters and their identities. A replica that lost its folder does not count until an entry names
-//! its new identity, because the votes and entries it has forgotten may have formed a quorum.
+//! Each replica votes under an identity that is generated with its data folder. The log itself
+//! names the voters and their identities. A replica that has lost its data folder does not count
+//! until an entry names its new identity, because its lost votes and entries may have been part of
+//! a quorum.
 
 mod election;
 mod election_event;
@@ -25,5 +26,5 @@
 pub use raft::{Config, NotLeader, Raft, RestoredState, Role};
 pub use ready::{ReadConfirmed, Ready};
 
-/// The identity under which a replica votes before any replacement.
+/// The identity of an initial voter as long as its data folder has not been replaced.
 pub const INITIAL_IDENTITY: u64 = 1;
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -1,12 +1,12 @@
-//! The part of the log that is kept in memory: everything after the last snapshot.
+//! The in-memory part of the log: everything after the latest snapshot.
 
 use crate::message::{Entry, LogIndex, Payload, Snapshot, Term, Voters};
 
-/// Entries after a snapshot, and who votes as of the last one.
+/// Entries after a snapshot, and the voters as of the last entry.
 ///
-/// A change of voters counts from the moment at which its entry is in the log, committed or not, and
-/// counts no more if the entry is replaced (Ongaro's dissertation, section 4.1). Whether a replica has
-/// heard that a change is committed thus makes no difference to what it does.
+/// A change of voters takes effect as soon as its entry is in the log, committed or not, and is
+/// undone if the entry is replaced (Ongaro's dissertation, section 4.1). A replica's behaviour thus
+/// does not depend on whether it has learned that a change is committed.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Log {
     snapshot: Snapshot,
@@ -18,7 +18,7 @@
 impl Log {
     pub fn new(snapshot: Snapshot, entries: Vec<Entry>) -> Self {
         let mut log = Self { snapshot, entries, ..Self::default() };
-        log.find_voters();
+        log.update_voters();
         log
     }
 
@@ -26,12 +26,12 @@
         &self.snapshot
     }
 
-    /// The newest voters in the log.
+    /// The latest voters in the log.
     pub fn voters(&self) -> &Voters {
         &self.voters
     }
 
-    /// The entry that made them voters; the snapshot's index if it is no longer kept.
+    /// Index of the entry that names them; the snapshot's index if that entry is compacted away.
     pub fn voters_index(&self) -> LogIndex {
         self.voters_index
     }
@@ -44,7 +44,7 @@
         self.entries.last().map_or(self.snapshot.term, |entry| entry.term)
     }
 
-    /// Term of the entry at `index`; `None` if it is compacted away or not there yet.
+    /// Term of the entry at `index`; `None` if it is compacted away or not in the log yet.
     pub fn term_at(&self, index: LogIndex) -> Option<Term> {
         if index == self.snapshot.index {
             return Some(self.snapshot.term);
@@ -57,7 +57,7 @@
         self.entries.get(usize::try_from(offset).ok()?)
     }
 
-    /// Up to `limit` entries from `from` on.
+    /// Up to `limit` entries starting at `from`.
     pub fn slice(&self, from: LogIndex, limit: usize) -> Vec<Entry> {
         let skipped = from.saturating_sub(self.snapshot.index + 1) as usize;
         self.entries.iter().skip(skipped).take(limit).cloned().collect()
@@ -72,14 +72,14 @@
         self.entries.push(entry);
     }
 
-    /// Drops the entry at `index` and all after it.
+    /// Removes the entry at `index` and all later ones.
     pub fn truncate_from(&mut self, index: LogIndex) {
         let kept = index.saturating_sub(self.snapshot.index + 1) as usize;
         self.entries.truncate(kept);
-        self.find_voters();
+        self.update_voters();
     }
 
-    /// Replaces the entries up to `index` by the state `data` as of `index`.
+    /// Replaces the entries up to `index` by a snapshot with the state `data`.
     pub fn compact(&mut self, index: LogIndex, data: Vec<u8>) {
         let Some(term) = self.term_at(index) else {
             return;
@@ -88,21 +88,21 @@
         self.install(Snapshot { index, term, voters, data });
     }
 
-    /// Replaces what precedes the snapshot's index by the snapshot. Entries after it are kept if
-    /// they follow on from it, otherwise dropped.
+    /// Replaces the log up to the snapshot's index by the snapshot. Later entries are kept if they
+    /// follow on from it, otherwise removed.
     pub fn install(&mut self, snapshot: Snapshot) {
         let follows_on = self.term_at(snapshot.index) == Some(snapshot.term);
         let index = snapshot.index;
         self.entries.retain(|entry| follows_on && entry.index > index);
         self.snapshot = snapshot;
-        self.find_voters();
+        self.update_voters();
     }
 
-    fn find_voters(&mut self) {
+    fn update_voters(&mut self) {
         (self.voters_index, self.voters) = self.voters_at(self.last_index());
     }
 
-    /// The voters as of the entry at `index`, and the entry that made them voters.
+    /// The voters as of `index`, and the index of the entry that names them.
     fn voters_at(&self, index: LogIndex) -> (LogIndex, Voters) {
         let changes = self.entries.iter().rev().filter(|entry| entry.index <= index);
         let newest = changes.filter_map(|entry| match &entry.payload {
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -1,4 +1,4 @@
-//! Messages between replicas, and what is made durable.
+//! Messages between replicas, and the durable records.
 
 use serde::{Deserialize, Serialize};
 use stackpost_types::MachineName;
@@ -9,17 +9,17 @@
 /// Position in the log; the first entry has index 1.
 pub type LogIndex = u64;
 
-/// The machines that vote, each with the identity of the data folder that counts.
+/// The voting machines, each with the identity of the data folder under which it votes.
 pub type Voters = BTreeMap<MachineName, u64>;
 
-/// What an entry carries.
+/// Content of an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Payload {
-    /// Nothing: a leader begins its term with such an entry.
+    /// No content: a leader starts its term with such an entry.
     Empty,
     /// An encoded command for the user of the log.
     Command(Vec<u8>),
-    /// Who votes from this entry on.
+    /// The voters from this entry on.
     Voters(Voters),
 }
 
@@ -28,34 +28,34 @@
 pub struct Entry {
     /// Term of the leader that proposed it.
     pub term: Term,
-    /// Its position.
+    /// Its position in the log.
     pub index: LogIndex,
-    /// What it carries.
+    /// Its content.
     pub payload: Payload,
 }
 
-/// The state of the log's user up to an index.
+/// The applied state up to an index.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
     /// Last entry that the data reflects.
     pub index: LogIndex,
-    /// Its term.
+    /// Term of that entry.
     pub term: Term,
-    /// Who voted as of that entry.
+    /// The voters as of that entry.
     pub voters: Voters,
     /// The encoded state.
     pub data: Vec<u8>,
 }
 
-/// What a replica must not forget besides the log.
+/// State that a replica must keep durable besides the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HardState {
     /// Newest term seen.
     pub term: Term,
-    /// Who got this replica's vote in that term.
+    /// The candidate that received this replica's vote in that term.
     pub voted_for: Option<MachineName>,
-    /// An entry known to be committed; newer ones may be. Without it a replica that restarts out of
-    /// touch would know no more than its last snapshot.
+    /// Index of an entry known to be committed; later ones may be committed too. Without it a
+    /// replica that restarts while disconnected would know only its latest snapshot.
     pub commit: LogIndex,
 }
 
@@ -64,35 +64,37 @@
 pub struct Envelope {
     /// The sending replica.
     pub from: MachineName,
-    /// The identity it votes under.
+    /// The sender's identity.
     pub identity: u64,
     /// The content.
     pub message: Message,
 }
 
-/// What replicas tell one another.
+/// A message between replicas.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Would you vote for me in `term`? Changes no state at the receiver.
+    /// Asks whether the receiver would vote for the sender in `term`. Does not change the
+    /// receiver's state.
     PreVote {
-        /// The term the sender would campaign in.
+        /// The term in which the sender would campaign.
         term: Term,
         /// Index of the sender's last entry.
         last_index: LogIndex,
         /// Term of the sender's last entry.
         last_term: Term,
     },
-    /// Answer to `PreVote`.
+    /// Reply to `PreVote`.
     PreVoteReply {
-        /// The term asked about, or the receiver's own if that is newer.
+        /// The term of the request; if neither of the two flags is set, the replying replica's own
+        /// term.
         term: Term,
-        /// Whether the receiver would.
+        /// Whether the replying replica would vote for the sender.
         granted: bool,
-        /// Whether it would but for a promise that it may have given before it started. Such a
-        /// replica does not lead.
+        /// Whether nothing but a promise from before its start may keep the replying replica from
+        /// voting. Such a replica is not the leader.
         just_started: bool,
     },
-    /// Vote for me in `term`.
+    /// Requests a vote in `term`.
     Vote {
         /// The sender's term.
         term: Term,
@@ -100,22 +102,22 @@
         last_index: LogIndex,
         /// Term of the sender's last entry.
         last_term: Term,
-        /// Whether every voter has answered that it does not lead and has promised nothing since
-        /// it started. Then no promise from before a start can matter any more.
+        /// Whether every voter has replied that it is not the leader and has promised nothing since
+        /// it started. Promises from before a start can then be ignored.
         no_live_leader: bool,
     },
-    /// Answer to `Vote`.
+    /// Reply to `Vote`.
     VoteReply {
-        /// The receiver's term.
+        /// Term of the replying replica.
         term: Term,
         /// Whether the vote was given.
         granted: bool,
     },
-    /// Entries after `prev_index`; with none it is a heartbeat.
+    /// Entries after `prev_index`; a heartbeat if there are none.
     Append {
         /// The leader's term.
         term: Term,
-        /// Index of the entry before the first one sent.
+        /// Index of the entry before the first one in the message.
         prev_index: LogIndex,
         /// Term of that entry.
         prev_term: Term,
@@ -126,15 +128,15 @@
         /// Heartbeat round, echoed by the receiver.
         round: u64,
     },
-    /// Answer to `Append` and `Install`.
+    /// Reply to `Append` and `Install`.
     AppendReply {
-        /// The receiver's term.
+        /// Term of the replying replica.
         term: Term,
         /// Whether the log matched.
         accepted: bool,
-        /// Accepted: last index known to match. Refused: last index worth trying.
+        /// If accepted, the last index known to match; otherwise the last index worth trying.
         index: LogIndex,
-        /// The round of the message answered.
+        /// The heartbeat round of the request.
         round: u64,
     },
     /// A snapshot for a replica that is too far behind.
@@ -149,7 +151,7 @@
 }
 
 impl Message {
-    /// The term the message speaks of.
+    /// The term in the message.
     pub fn term(&self) -> Term {
         match self {
             Self::PreVote { term, .. }
--- a/crates/consensus/src/raft.rs
+++ b/crates/consensus/src/raft.rs
@@ -1,4 +1,4 @@
-//! The replica: state shared by election and replication, and the entry points.
+//! One replica: the state shared by elections and replication, and the entry points.
 
 use crate::election_event::{ElectionEvent, VoteRefusal};
 use crate::log::Log;
@@ -10,41 +10,41 @@
 use std::collections::{BTreeMap, BTreeSet};
 use thiserror::Error;
 
-/// A newer commit index is stored after so long if nothing else is written meanwhile.
-const SAVE_COMMIT_AFTER: Millis = Millis(250);
+/// Time after which a newer commit index is stored if nothing else has been written.
+const COMMIT_SAVE_DELAY: Millis = Millis(250);
 
-/// Fixed facts about a replica.
+/// Settings of a replica.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// This replica.
+    /// Name of this replica.
     pub name: MachineName,
-    /// The identity drawn with its data folder.
+    /// The identity generated with its data folder.
     pub identity: u64,
-    /// Who votes as long as neither a snapshot nor an entry names the voters. Empty for a replica
-    /// that has yet to be taken in by the others.
+    /// The voters until a snapshot or an entry names them. Empty for a replica that has yet to be
+    /// added by the others.
     pub initial_voters: Voters,
-    /// Shortest silence of the leader before a campaign. Also the length of a lease.
+    /// Shortest time without a message of the leader before a campaign. Also the length of a lease.
     pub election_timeout: Millis,
     /// Time between two heartbeats.
     pub heartbeat_interval: Millis,
-    /// Taken off a lease's end for clocks that run at different speeds.
+    /// Subtracted from the end of a lease, since clocks may run at different speeds.
     pub lease_margin: Millis,
-    /// Seed for election timeouts.
+    /// Seed of the random election timeouts.
     pub seed: u64,
 }
 
-/// What a replica read from its data folder.
+/// State that a replica has read from its data folder.
 #[derive(Clone, Debug, Default)]
 pub struct RestoredState {
     /// The stored hard state.
     pub hard_state: HardState,
-    /// The newest snapshot.
+    /// The latest snapshot.
     pub snapshot: Snapshot,
     /// The entries after it.
     pub entries: Vec<Entry>,
 }
 
-/// What a replica does in its term.
+/// Role of a replica in its term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[allow(missing_docs)]
 pub enum Role {
@@ -54,7 +54,7 @@
     Leader,
 }
 
-/// The replica can't propose or confirm reads.
+/// The replica is not the leader and can't propose or confirm reads.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("not the leader; known leader: {}", .leader.as_ref().map_or("none", MachineName::as_str))]
 pub struct NotLeader {
@@ -62,29 +62,29 @@
     pub leader: Option<MachineName>,
 }
 
-/// A leader's knowledge of one other replica.
+/// A leader's record of one other replica.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Progress {
     pub next: LogIndex,
     pub matched: LogIndex,
-    /// Newest heartbeat round that the replica has answered.
+    /// Latest heartbeat round to which the replica has replied.
     pub round: u64,
     /// When the leader sent that round.
     pub round_sent: Timestamp,
-    /// The identity under which it answered last.
+    /// The identity in its last reply.
     pub identity: u64,
-    /// When it last answered, by the leader's clock.
+    /// Time of its last reply, by the leader's clock.
     pub last_reply_at: Timestamp,
 }
 
 impl Progress {
-    /// Nothing is known of the replica yet; entries are sent from `next` on.
+    /// Progress of a replica of which nothing is known yet; entries are sent starting at `next`.
     pub fn starting_at(next: LogIndex, now: Timestamp) -> Self {
         Self { next, round_sent: now, last_reply_at: now, ..Self::default() }
     }
 }
 
-/// A read that waits for a majority to confirm the leader.
+/// A read that waits until a majority has confirmed the leader.
 #[derive(Clone, Debug)]
 pub(crate) struct PendingRead {
     pub context: u64,
@@ -97,7 +97,7 @@
 pub struct Raft {
     pub(crate) config: Config,
     pub(crate) rng: ChaCha8Rng,
-    /// Machines that get the log without counting. Kept by the leader only; never durable.
+    /// Machines that receive the log but do not vote. Kept by the leader only; not durable.
     pub(crate) learners: BTreeSet<MachineName>,
     pub(crate) hard_state: HardState,
     pub(crate) log: Log,
@@ -105,11 +105,12 @@
     pub(crate) role: Role,
     pub(crate) leader: Option<MachineName>,
     pub(crate) votes: BTreeSet<MachineName>,
-    /// Voters that have said since the last pre-vote that they do not lead and have promised
-    /// nothing since they started, or that would vote anyway.
+    /// Voters that have replied since the last pre-vote that they are not the leader and have
+    /// promised nothing since they started, or that would vote anyway.
     pub(crate) just_started: BTreeSet<MachineName>,
-    /// Whether a leader has been heard, or this replica has led, since it started.
-    pub(crate) heard_leader: bool,
+    /// Whether this replica has received a leader's message, or has been the leader, since it
+    /// started.
+    pub(crate) has_seen_leader: bool,
     pub(crate) progress: BTreeMap<MachineName, Progress>,
     pub(crate) round: u64,
     pub(crate) rounds_sent: BTreeMap<u64, Timestamp>,
@@ -119,21 +120,21 @@
     pub(crate) campaign_at: Timestamp,
     pub(crate) heartbeat_at: Timestamp,
     pub(crate) leader_since: Timestamp,
-    // Not yet handed to the driver.
+    // Output that the driver has not taken yet.
     pub(crate) messages: Vec<(MachineName, Envelope)>,
     pub(crate) confirmed_reads: Vec<ReadConfirmed>,
     pub(crate) elections: Vec<ElectionEvent>,
     pub(crate) new_snapshot: Option<Snapshot>,
     hard_state_dirty: bool,
-    /// Since when a newer commit index than the stored one has been known.
+    /// When the first commit index newer than the stored one became known.
     commit_unsaved_since: Option<Timestamp>,
-    /// Last entry known to be durable here; a leader counts itself only up to this one.
+    /// Last entry known to be durable here; the leader's own log counts for a commit only up to it.
     pub(crate) durable: LogIndex,
     applied: LogIndex,
 }
 
 impl Raft {
-    /// Starts a replica from what it read at `now`.
+    /// Starts a replica from its restored state.
     pub fn new(config: Config, mut restored: RestoredState, now: Timestamp) -> Self {
         if restored.snapshot.index == 0 {
             restored.snapshot.voters = config.initial_voters.clone();
@@ -152,14 +153,14 @@
             leader: None,
             votes: BTreeSet::new(),
             just_started: BTreeSet::new(),
-            heard_leader: false,
+            has_seen_leader: false,
             progress: BTreeMap::new(),
             round: 0,
             rounds_sent: BTreeMap::new(),
             reads: Vec::new(),
             now,
-            // A replica may have promised not to vote just before it stopped, so it starts as if
-            // it had heard from a leader this moment.
+            // The replica may have promised not to vote just before it stopped, so it starts as if
+            // it had received a leader's message now.
             last_contact: now,
             campaign_at: now,
             heartbeat_at: now,
@@ -193,7 +194,7 @@
         self.leader.as_ref()
     }
 
-    /// The newest entry known to be committed.
+    /// Index of the latest entry known to be committed.
     pub fn commit_index(&self) -> LogIndex {
         self.commit
     }
@@ -203,13 +204,13 @@
         self.log.last_index()
     }
 
-    /// Index covered by the newest snapshot.
+    /// Index of the latest snapshot.
     pub fn snapshot_index(&self) -> LogIndex {
         self.log.snapshot().index
     }
 
-    /// Until when no other replica can have become leader, by this replica's clock. `None` if
-    /// this replica isn't a leader that a majority has confirmed.
+    /// Time until which no other replica can have become leader, by this replica's clock. `None` if
+    /// this replica is not a leader that a majority has confirmed.
     pub fn lease_until(&self) -> Option<Timestamp> {
         if self.role != Role::Leader || !self.has_committed_in_term() {
             return None;
@@ -219,12 +220,12 @@
         Some(Timestamp(end.0.saturating_sub(self.config.lease_margin.0)))
     }
 
-    /// When this replica became leader, if it is.
+    /// When this replica became leader; `None` if it is not the leader.
     pub fn leader_since(&self) -> Option<Timestamp> {
         (self.role == Role::Leader).then_some(self.leader_since)
     }
 
-    /// Lets time pass.
+    /// Advances the clock to `now` and runs what is due.
     pub fn tick(&mut self, now: Timestamp) {
         self.now = self.now.max(now);
         self.save_commit_when_idle();
@@ -235,7 +236,7 @@
         }
     }
 
-    /// Takes in a message.
+    /// Processes a message.
     pub fn step(&mut self, now: Timestamp, envelope: Envelope) {
         self.now = self.now.max(now);
         if self.is_foreign(&envelope) {
@@ -243,10 +244,10 @@
         }
         self.observe_term(&envelope);
         if envelope.message.term() < self.hard_state.term {
-            self.answer_stale(&envelope);
+            self.reply_to_stale(&envelope);
             return;
         }
-        self.note_uncounted_vote(&envelope);
+        self.record_uncounted_vote(&envelope);
         let Envelope { from, identity, message } = envelope;
         let is_voting_identity = self.is_voting_identity(&from, identity);
         match message {
@@ -273,7 +274,7 @@
         }
     }
 
-    /// Appends a command to the leader's log. It is committed once a [`Ready`] says so.
+    /// Appends a command to the leader's log. Once committed, it is returned in a [`Ready`].
     pub fn propose(&mut self, data: Vec<u8>) -> Result<(Term, LogIndex), NotLeader> {
         if self.role != Role::Leader {
             return Err(NotLeader { leader: self.leader.clone() });
@@ -283,9 +284,10 @@
         Ok((self.hard_state.term, index))
     }
 
-    /// Asks for a linearizable read; the answer comes in a [`Ready`] under `context`.
+    /// Requests a linearizable read; the confirmation is returned in a [`Ready`] under `context`.
     pub fn read_index(&mut self, context: u64) -> Result<(), NotLeader> {
-        // Before its first own commit a leader may not know its predecessors' last commits.
+        // Before it has committed an entry of its term, a leader may not know its predecessors'
+        // last commits.
         if self.role != Role::Leader || !self.has_committed_in_term() {
             return Err(NotLeader { leader: self.leader.clone() });
         }
@@ -296,7 +298,7 @@
         Ok(())
     }
 
-    /// Takes the work that has gathered.
+    /// Returns the work that has accumulated.
     pub fn ready(&mut self) -> Ready {
         let snapshot = self.new_snapshot.take();
         if let Some(installed) = &snapshot {
@@ -304,14 +306,14 @@
         }
         let entries = self.log.slice(self.durable + 1, usize::MAX);
         let committed = self.take_committed();
-        // The commit index is stored along with whatever else is.
-        let writes = std::mem::take(&mut self.hard_state_dirty) || !entries.is_empty();
-        if writes {
+        // The commit index is stored together with any other write.
+        let has_writes = std::mem::take(&mut self.hard_state_dirty) || !entries.is_empty();
+        if has_writes {
             self.hard_state.commit = self.commit;
             self.commit_unsaved_since = None;
         }
         Ready {
-            hard_state: writes.then(|| self.hard_state.clone()),
+            hard_state: has_writes.then(|| self.hard_state.clone()),
             snapshot,
             entries,
             messages: std::mem::take(&mut self.messages),
@@ -321,7 +323,7 @@
         }
     }
 
-    /// The driver has synced the entries of the last [`Ready`].
+    /// Records that the driver has synced the entries of the last [`Ready`].
     pub fn advance(&mut self) {
         self.durable = self.log.last_index();
         if self.role == Role::Leader {
@@ -329,90 +331,91 @@
         }
     }
 
-    /// The driver has stored a snapshot of its state at `index`; entries up to it are dropped.
+    /// Replaces the entries up to `index` by a snapshot of the driver's state.
     pub fn compact(&mut self, index: LogIndex, data: Vec<u8>) {
         if index <= self.applied {
             self.log.compact(index, data);
         }
     }
 
-    /// What must survive a restart besides the log.
+    /// The durable state besides the log.
     pub fn hard_state(&self) -> &HardState {
         &self.hard_state
     }
 
-    /// The newest snapshot.
+    /// The latest snapshot.
     pub fn snapshot(&self) -> &Snapshot {
         self.log.snapshot()
     }
 
-    /// The entries kept after the newest snapshot.
+    /// The entries after the latest snapshot.
     pub fn entries_after_snapshot(&self) -> Vec<Entry> {
         self.log.slice(self.snapshot_index() + 1, usize::MAX)
     }
 
-    /// Term of the entry at `index`, if it is still kept.
+    /// Term of the entry at `index`, if it is not compacted away.
     pub fn term_at(&self, index: LogIndex) -> Option<Term> {
         self.log.term_at(index)
     }
 
-    /// Answers are taken only from machines that could have been asked. What a leader or a candidate
-    /// sends is taken from anyone: the sender counts by its own log, which may be ahead of this one
-    /// (Ongaro's dissertation, section 4.1). Nobody is put at risk by it: a candidate counts only
-    /// the votes of identities in its own log, and whoever was removed lacks the entry that says so.
+    /// Replies are accepted only from known machines. Messages of leaders and candidates are
+    /// accepted from any machine: the sender acts by its own log, which may be ahead of this one
+    /// (Ongaro's dissertation, section 4.1). This is safe: a candidate counts only the votes of
+    /// identities in its own log, and a removed machine lacks the entry that removes it.
     fn is_foreign(&self, envelope: &Envelope) -> bool {
-        let answers = matches!(
+        let is_reply = matches!(
             envelope.message,
             Message::AppendReply { .. } | Message::PreVoteReply { .. } | Message::VoteReply { .. }
         );
-        let known =
+        let is_known =
             self.voters().contains_key(&envelope.from) || self.learners.contains(&envelope.from);
-        answers && !known
+        is_reply && !is_known
     }
 
-    /// Without new entries a newer commit index is stored by itself, after a while.
+    /// Stores a newer commit index after a delay if no new entries are written.
     fn save_commit_when_idle(&mut self) {
         if self.commit <= self.hard_state.commit {
             return;
         }
         let since = *self.commit_unsaved_since.get_or_insert(self.now);
-        if self.now.since(since) >= SAVE_COMMIT_AFTER {
+        if self.now.since(since) >= COMMIT_SAVE_DELAY {
             self.hard_state_dirty = true;
         }
     }
 
     fn take_committed(&mut self) -> Vec<Entry> {
-        // Committed entries are handed out only once durable here, so that a restart finds them.
+        // An entry may be committed before it is durable here. The driver syncs the entries of a
+        // `Ready` before it applies the committed ones, so a restart finds them.
         let until = self.commit.min(self.log.last_index());
         let entries = self.log.slice(self.applied + 1, until.saturating_sub(self.applied) as usize);
         self.applied = self.applied.max(until);
         entries
     }
 
-    /// A newer term makes this replica a follower in it. A pre-vote is only a question and a
-    /// granted answer to one speaks of a term that nobody has entered yet.
+    /// Adopts a newer term and becomes a follower in it. A pre-vote is only a question, and a
+    /// granted reply to it names a term that no replica has entered yet.
     fn observe_term(&mut self, envelope: &Envelope) {
-        let hypothetical = matches!(
+        let is_hypothetical = matches!(
             envelope.message,
             Message::PreVote { .. }
                 | Message::PreVoteReply { granted: true, .. }
                 | Message::PreVoteReply { just_started: true, .. }
         );
-        let newer = envelope.message.term() > self.hard_state.term;
-        if !newer || hypothetical {
+        let is_newer = envelope.message.term() > self.hard_state.term;
+        if !is_newer || is_hypothetical {
             return;
         }
         if let Message::Vote { no_live_leader, .. } = envelope.message {
-            let old_promise_is_void = no_live_leader && self.has_only_started();
-            if self.in_lease_of_leader() && !old_promise_is_void {
+            let ignores_earlier_promise = no_live_leader && self.may_ignore_earlier_promise();
+            if self.in_lease_of_leader() && !ignores_earlier_promise {
                 return;
             }
         }
         self.become_follower(envelope.message.term(), None);
     }
 
-    /// Notes that an answer to a campaign comes from another data folder than the one that counts.
-    fn note_uncounted_vote(&mut self, envelope: &Envelope) {
+    /// Records a reply to a campaign under another identity than the one that counts.
+    fn record_uncounted_vote(&mut self, envelope: &Envelope) {
         if !matches!(envelope.message, Message::PreVoteReply { .. } | Message::VoteReply { .. }) {
             return;
         }
@@ -426,7 +429,7 @@
         self.elections.push(ElectionEvent::Refused { candidate: candidate.clone(), reason });
     }
 
-    fn answer_stale(&mut self, envelope: &Envelope) {
+    fn reply_to_stale(&mut self, envelope: &Envelope) {
         let term = self.hard_state.term;
         let reply = match envelope.message {
             Message::PreVote { .. } => {
@@ -457,7 +460,8 @@
         self.hard_state_dirty = true;
     }
 
-    /// Whether this replica counts itself: a leader that is no voter any more must not.
+    /// Whether this replica counts itself in majorities; a leader that is no longer a voter must
+    /// not.
     pub(crate) fn counts_own_vote(&self) -> bool {
         self.is_voter()
     }
@@ -468,14 +472,14 @@
         self.campaign_at = self.now + Millis(base + spread);
     }
 
-    /// A pre-vote disturbs nobody, so one that was not enough is repeated soon.
+    /// A pre-vote does not disturb other replicas, so a failed one is retried soon.
     pub(crate) fn retry_campaign_soon(&mut self) {
         let least = self.config.heartbeat_interval.0;
         let spread = self.rng.random_range(0..=least);
         self.campaign_at = self.now + Millis(least + spread);
     }
 
-    /// Whether a leader was heard from so lately that it may rely on its lease.
+    /// Whether the last contact with a leader is so recent that the leader may rely on its lease.
     pub(crate) fn in_lease_of_leader(&self) -> bool {
         self.now.since(self.last_contact) < self.config.election_timeout
     }
--- a/crates/consensus/src/ready.rs
+++ b/crates/consensus/src/ready.rs
@@ -1,4 +1,4 @@
-//! What a replica asks of its driver.
+//! Work that a replica requests from its driver.
 
 use crate::election_event::ElectionEvent;
 use crate::message::{Entry, Envelope, HardState, LogIndex, Snapshot};
@@ -7,14 +7,14 @@
 /// A linearizable read may use the state as of `index`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReadConfirmed {
-    /// The number that the reader passed to `read_index`.
+    /// The value that the reader passed to `read_index`.
     pub context: u64,
-    /// The state must have applied this entry before it is read.
+    /// The state must have applied this entry before the read.
     pub index: LogIndex,
 }
 
-/// Work for the driver. Order matters: `hard_state`, `snapshot` and `entries` must be synced
-/// before any message is sent, since messages promise what those hold.
+/// Work for the driver. The order matters: `hard_state`, `snapshot` and `entries` must be synced
+/// before any message is sent, because the messages rely on them being durable.
 #[derive(Debug, Default)]
 pub struct Ready {
     /// To be made durable.
@@ -29,7 +29,7 @@
     pub committed: Vec<Entry>,
     /// Reads that may now be answered.
     pub reads: Vec<ReadConfirmed>,
-    /// What happened in elections, for logs.
+    /// Events of elections, for logging.
     pub elections: Vec<ElectionEvent>,
 }
 
--- a/crates/consensus/src/replication.rs
+++ b/crates/consensus/src/replication.rs
@@ -1,4 +1,4 @@
-//! Replication: the leader's side and the followers' side.
+//! Replication on the leader and on the followers.
 
 use crate::election_event::ElectionEvent;
 use crate::message::*;
@@ -6,10 +6,10 @@
 use crate::ready::ReadConfirmed;
 use stackpost_types::{MachineName, Timestamp};
 
-/// Entries carried by one message.
-const ENTRIES_PER_MESSAGE: usize = 256;
-/// Heartbeat rounds whose sending time is remembered.
-const KEPT_ROUNDS: usize = 64;
+/// Maximum number of entries in one message.
+const MAX_ENTRIES_PER_MESSAGE: usize = 256;
+/// Number of heartbeat rounds whose send time is kept.
+const MAX_TRACKED_ROUNDS: usize = 64;
 
 impl Raft {
     pub(crate) fn tick_leader(&mut self) {
@@ -20,8 +20,8 @@
         self.check_quorum();
     }
 
-    /// A leader that no majority has answered for an election timeout steps down: another one
-    /// may have been elected without its knowledge.
+    /// A leader that got no replies of a majority for an election timeout steps down: another
+    /// leader may have been elected without its knowledge.
     fn check_quorum(&mut self) {
         let confirmed = self.majority_round_time().unwrap_or(self.leader_since);
         if self.now.since(confirmed) >= self.config.election_timeout {
@@ -33,7 +33,7 @@
     pub(crate) fn begin_round(&mut self) {
         self.round += 1;
         self.rounds_sent.insert(self.round, self.now);
-        if self.rounds_sent.len() > KEPT_ROUNDS {
+        if self.rounds_sent.len() > MAX_TRACKED_ROUNDS {
             self.rounds_sent.pop_first();
         }
         self.heartbeat_at = self.now + self.config.heartbeat_interval;
@@ -64,8 +64,8 @@
             self.send(to, Message::Install { term, snapshot, round });
             return;
         };
-        let entries = self.log.slice(progress.next, ENTRIES_PER_MESSAGE);
-        // Sent ahead of the answer; a refusal or the next one sets it back.
+        let entries = self.log.slice(progress.next, MAX_ENTRIES_PER_MESSAGE);
+        // Advanced before the reply arrives; a refusal or the next reply corrects it.
         progress.next += entries.len() as u64;
         let commit = self.commit;
         self.send(to, Message::Append { term, prev_index, prev_term, entries, commit, round });
@@ -80,7 +80,7 @@
         commit: LogIndex,
         round: u64,
     ) {
-        self.follow(&from);
+        self.follow_leader(&from);
         let term = self.hard_state.term;
         if !self.matches(prev_index, prev_term) {
             let index = self.log.last_index().min(prev_index.saturating_sub(1));
@@ -107,7 +107,8 @@
         match self.log.term_at(entry.index) {
             Some(term) if term == entry.term => {}
             Some(_) => {
-                // A conflicting entry can't be committed here: the leader holds all that are.
+                // A conflicting entry is not committed here, since the leader has all committed
+                // entries.
                 self.log.truncate_from(entry.index);
                 self.durable = self.durable.min(entry.index - 1);
                 self.log.push(entry);
@@ -117,7 +118,7 @@
     }
 
     pub(crate) fn on_install(&mut self, from: MachineName, snapshot: Snapshot, round: u64) {
-        self.follow(&from);
+        self.follow_leader(&from);
         let index = snapshot.index;
         if index > self.commit {
             self.commit = index;
@@ -129,12 +130,12 @@
         self.send(from, Message::AppendReply { term, accepted: true, index, round });
     }
 
-    fn follow(&mut self, leader: &MachineName) {
+    fn follow_leader(&mut self, leader: &MachineName) {
         if self.role != Role::Follower || self.leader.as_ref() != Some(leader) {
             self.become_follower(self.hard_state.term, Some(leader.clone()));
         }
         self.last_contact = self.now;
-        self.heard_leader = true;
+        self.has_seen_leader = true;
         self.reset_campaign_timer();
     }
 
@@ -157,7 +158,7 @@
         };
         progress.last_reply_at = now;
         if progress.identity != identity {
-            // A new data folder: nothing that the old one acknowledged counts any more.
+            // A new data folder: acknowledgements of the old identity no longer count.
             *progress = Progress { identity, ..Progress::starting_at(last + 1, now) };
         }
         if accepted {
@@ -172,8 +173,8 @@
             progress.round = round;
             progress.round_sent = sent;
         }
-        let behind = progress.next <= last;
-        if !accepted || behind {
+        let is_behind = progress.next <= last;
+        if !accepted || is_behind {
             self.send_append(from.clone());
         }
         self.advance_commit();
@@ -198,13 +199,13 @@
         let Some(majority) = matched.get(self.quorum() - 1).copied() else {
             return;
         };
-        // Only entries of the own term are committed by counting (Raft, 5.4.2).
+        // Only entries of the current term are committed by counting replicas (Raft, 5.4.2).
         if majority > self.commit && self.log.term_at(majority) == Some(self.hard_state.term) {
             self.commit = majority;
         }
     }
 
-    /// Sending time of the newest round that a majority, this replica included, has answered.
+    /// Send time of the latest round to which a majority, including this replica, has replied.
     pub(crate) fn majority_round_time(&self) -> Option<Timestamp> {
         let mut times: Vec<Timestamp> = self
             .progress
@@ -239,9 +240,9 @@
             std::mem::take(&mut self.reads).into_iter().partition(|read| read.round <= majority);
         self.reads = waiting;
         let confirmed: Vec<crate::raft::PendingRead> = confirmed;
-        let answers = confirmed
+        let confirmations = confirmed
             .into_iter()
             .map(|read| ReadConfirmed { context: read.context, index: read.index });
-        self.confirmed_reads.extend(answers);
+        self.confirmed_reads.extend(confirmations);
     }
 }
--- a/crates/consensus/tests/membership.rs
+++ b/crates/consensus/tests/membership.rs
@@ -1,4 +1,5 @@
-//! Who votes: by the newest entry in the log that names the voters, committed or not.
+//! Membership: the voters are those of the newest entry in the log that names any, committed or
+//! not.
 
 use stackpost_consensus::*;
 use stackpost_types::{MachineName, Millis, Timestamp};
@@ -14,7 +15,7 @@
     machines.iter().map(|machine| (name(machine), INITIAL_IDENTITY)).collect()
 }
 
-fn replica(machine: &str, restored: RestoredState, now: Timestamp) -> Raft {
+fn new_replica(machine: &str, restored: RestoredState, now: Timestamp) -> Raft {
     let config = Config {
         name: name(machine),
         identity: INITIAL_IDENTITY,
@@ -27,38 +28,38 @@
     Raft::new(config, restored, now)
 }
 
-/// Replicas that share a clock; those that are cut off get and send nothing.
+/// Replicas that share a clock; isolated ones neither send nor receive messages.
 struct Group {
     now: Timestamp,
     replicas: BTreeMap<MachineName, Raft>,
-    cut_off: Vec<MachineName>,
+    isolated: Vec<MachineName>,
 }
 
 impl Group {
-    /// Three voters, of which one leads and has committed an entry of its term.
+    /// Three voters with a leader that has committed an entry of its term.
     fn elected() -> (Self, MachineName) {
         let now = Timestamp(1_000);
         let replicas =
-            ["a", "b", "c"].map(|one| (name(one), replica(one, RestoredState::default(), now)));
-        let mut group = Self { now, replicas: replicas.into(), cut_off: Vec::new() };
-        let leader = group.run_until_led();
+            ["a", "b", "c"].map(|one| (name(one), new_replica(one, RestoredState::default(), now)));
+        let mut group = Self { now, replicas: replicas.into(), isolated: Vec::new() };
+        let leader = group.run_until_leader();
         (group, leader)
     }
 
-    fn run_until_led(&mut self) -> MachineName {
+    fn run_until_leader(&mut self) -> MachineName {
         for _ in 0..400 {
             self.step();
             let leads = |raft: &&Raft| raft.lease_until().is_some_and(|until| self.now < until);
             let reachable =
-                self.replicas.iter().filter(|(machine, _)| !self.cut_off.contains(machine));
+                self.replicas.iter().filter(|(machine, _)| !self.isolated.contains(machine));
             if let Some((machine, _)) = reachable.into_iter().find(|(_, raft)| leads(raft)) {
                 return machine.clone();
             }
         }
-        panic!("nobody leads after ten seconds");
+        panic!("no leader after ten seconds");
     }
 
-    /// Lets 25 ms pass and delivers what is sent.
+    /// Advances time by 25 ms and delivers all messages.
     fn step(&mut self) {
         self.now = self.now + Millis(25);
         self.replicas.values_mut().for_each(|raft| raft.tick(self.now));
@@ -69,8 +70,8 @@
                 return;
             }
             for (to, envelope) in sent {
-                let lost = self.cut_off.contains(&to) || self.cut_off.contains(&envelope.from);
-                if let Some(raft) = self.replicas.get_mut(&to).filter(|_| !lost) {
+                let is_lost = self.isolated.contains(&to) || self.isolated.contains(&envelope.from);
+                if let Some(raft) = self.replicas.get_mut(&to).filter(|_| !is_lost) {
                     raft.step(self.now, envelope);
                 }
             }
@@ -82,7 +83,7 @@
     }
 }
 
-/// What a driver does, with a disk that syncs at once.
+/// Acts as the driver, with a disk that syncs at once.
 fn drain(raft: &mut Raft) -> Vec<(MachineName, Envelope)> {
     let mut sent = Vec::new();
     loop {
@@ -98,36 +99,36 @@
 }
 
 #[test]
-fn one_change_at_a_time_and_one_machine_in_it() {
+fn voters_change_one_at_a_time_and_one_machine_each() {
     let (mut group, leader) = Group::elected();
     let raft = group.raft(&leader);
     let two_more = voters(&["a", "b", "c", "d", "e"]);
     assert_eq!(raft.propose_voters(two_more.clone()), Err(VoterChangeError::TooManyChanges(2)));
     let one_more = voters(&["a", "b", "c", "d"]);
-    let (_, index) = raft.propose_voters(one_more.clone()).expect("nothing stands against it");
-    assert_eq!(*raft.voters(), one_more, "it counts at once");
+    let (_, index) = raft.propose_voters(one_more.clone()).expect("no change in progress");
+    assert_eq!(*raft.voters(), one_more, "the change takes effect at once");
     assert_eq!(raft.propose_voters(two_more), Err(VoterChangeError::InProgress(index)));
     group.step();
     for raft in group.replicas.values() {
-        assert_eq!(*raft.voters(), one_more, "and for everyone who has the entry");
+        assert_eq!(*raft.voters(), one_more, "the change takes effect with the entry");
     }
-    assert_eq!(group.raft(&leader).may_change_voters(), Ok(()), "three of four have it");
-    let follower = group.replicas.keys().find(|one| **one != leader).cloned().expect("two follow");
+    assert_eq!(group.raft(&leader).may_change_voters(), Ok(()), "three of four have the entry");
+    let follower = group.replicas.keys().find(|one| **one != leader).cloned().expect("a follower");
     let refused = group.raft(&follower).propose_voters(voters(&["a", "b", "c"]));
     assert!(matches!(refused, Err(VoterChangeError::NotLeader(_))));
 }
 
 #[test]
-fn voters_of_an_entry_that_is_replaced_count_no_more() {
+fn voters_of_a_replaced_entry_are_reverted() {
     let (mut group, leader) = Group::elected();
-    group.cut_off.push(leader.clone());
+    group.isolated.push(leader.clone());
     let one_more = voters(&["a", "b", "c", "d"]);
-    group.raft(&leader).propose_voters(one_more.clone()).expect("nothing stands against it");
+    group.raft(&leader).propose_voters(one_more.clone()).expect("no change in progress");
     group.step();
     assert_eq!(*group.raft(&leader).voters(), one_more);
-    let successor = group.run_until_led();
+    let successor = group.run_until_leader();
     assert_ne!(successor, leader);
-    group.cut_off.clear();
+    group.isolated.clear();
     for _ in 0..40 {
         group.step();
     }
@@ -135,12 +136,12 @@
 }
 
 #[test]
-fn a_snapshot_names_the_voters_as_of_its_index() {
+fn snapshot_names_the_voters_as_of_its_index() {
     let (mut group, leader) = Group::elected();
     let raft = group.raft(&leader);
-    let before = raft.propose(b"before".to_vec()).expect("it leads").1;
+    let before = raft.propose(b"before".to_vec()).expect("the leader").1;
     let one_more = voters(&["a", "b", "c", "d"]);
-    raft.propose_voters(one_more.clone()).expect("nothing stands against it");
+    raft.propose_voters(one_more.clone()).expect("no change in progress");
     group.step();
     group.step();
     let raft = group.raft(&leader);
@@ -152,6 +153,6 @@
         snapshot: raft.snapshot().clone(),
         entries: raft.entries_after_snapshot(),
     };
-    let restarted = replica(leader.as_str(), restored, group.now);
-    assert_eq!(*restarted.voters(), one_more, "the entry after the snapshot counts");
+    let restarted = new_replica(leader.as_str(), restored, group.now);
+    assert_eq!(*restarted.voters(), one_more, "the entry after the snapshot takes effect");
 }
--- a/crates/coordinator/src/replica_logger.rs
+++ b/crates/coordinator/src/replica_logger.rs
@@ -49,7 +49,7 @@
             }
             ElectionEvent::UncountedVote { voter, identity, counted } => {
                 format!(
-                    "the answer of {voter} does not count: identity {identity:x}, voter's {counted:x}"
+                    "the answer of {voter} does not count: identity {identity:x}, not {counted:x}"
                 )
             }
             ElectionEvent::LostQuorum { term } => {
