--- a/crates/mesh/src/connection.rs
+++ b/crates/mesh/src/connection.rs
@@ -1,4 +1,4 @@
-//! One connection: frames in both directions until it breaks.
+//! One connection: exchanges frames in both directions until it breaks.
 
 use crate::{CONNECTION_IDLE_TIMEOUT, MAX_FRAME_BYTES};
 use bytes::Bytes;
@@ -12,29 +12,29 @@
 use tokio::time::timeout;
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
-/// Longest wait for a connection to come up.
+/// Longest wait for a connection to be established.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
 
 pub(crate) type FrameStream = Framed<TcpStream, LengthDelimitedCodec>;
 
 /// Opens a connection to `address`.
-pub(crate) async fn open(address: SocketAddr) -> io::Result<FrameStream> {
+pub(crate) async fn connect(address: SocketAddr) -> io::Result<FrameStream> {
     let connecting = timeout(CONNECT_TIMEOUT, TcpStream::connect(address));
     let stream = connecting.await.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
-    Ok(framed(stream))
+    Ok(frame_stream(stream))
 }
 
-/// Puts frames on an accepted or opened stream.
-pub(crate) fn framed(stream: TcpStream) -> FrameStream {
+/// Wraps an accepted or opened stream in the frame codec.
+pub(crate) fn frame_stream(stream: TcpStream) -> FrameStream {
     let socket = SockRef::from(&stream);
-    // Both options only shorten delays; a socket that refuses them still works.
+    // Both options only reduce latency, so failures to set them are ignored.
     let _ = socket.set_tcp_nodelay(true);
     let _ = socket.set_tcp_user_timeout(Some(CONNECTION_IDLE_TIMEOUT));
     let codec = LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_codec();
     Framed::new(stream, codec)
 }
 
-/// The next frame, or why there is none.
+/// Reads the next frame.
 pub(crate) async fn next_frame(stream: &mut FrameStream) -> io::Result<Bytes> {
     match timeout(CONNECTION_IDLE_TIMEOUT, stream.next()).await {
         Ok(Some(frame)) => Ok(frame?.freeze()),
@@ -43,14 +43,14 @@
     }
 }
 
-/// Carries frames both ways until the connection breaks or `outgoing` is closed.
+/// Sends and receives frames until the connection breaks or `outgoing` is closed.
 pub(crate) async fn run(
     stream: FrameStream,
     outgoing: &mut mpsc::Receiver<Bytes>,
     mut on_frame: impl FnMut(Bytes),
 ) -> io::Result<()> {
     let (mut sink, mut source) = stream.split();
-    let reading = async {
+    let receive_frames = async {
         loop {
             match timeout(CONNECTION_IDLE_TIMEOUT, source.next()).await {
                 Ok(Some(frame)) => on_frame(frame?.freeze()),
@@ -59,10 +59,10 @@
             }
         }
     };
-    let writing = async {
+    let send_frames = async {
         while let Some(frame) = outgoing.recv().await {
             sink.feed(frame).await?;
-            // Whatever else is waiting goes out in the same write.
+            // All queued frames are sent in the same write.
             while let Ok(frame) = outgoing.try_recv() {
                 sink.feed(frame).await?;
             }
@@ -71,7 +71,7 @@
         Ok(())
     };
     tokio::select! {
-        ended = reading => ended,
-        ended = writing => ended,
+        result = receive_frames => result,
+        result = send_frames => result,
     }
 }
--- a/crates/mesh/src/mesh.rs
+++ b/crates/mesh/src/mesh.rs
@@ -1,4 +1,4 @@
-//! All connections of one process.
+//! The connections of one process.
 
 use crate::connection::{self, FrameStream};
 use bytes::Bytes;
@@ -17,51 +17,51 @@
 use tokio::sync::mpsc;
 use tokio::time::sleep;
 
-/// Frames that may wait for one connection; more are dropped.
-const OUTGOING_LIMIT: usize = 1_024;
-/// Pause after a connection that broke or the first that failed: after a loss of power of all
-/// machines the other end is about to listen.
+/// Maximum number of frames queued for one connection; further ones are dropped.
+const MAX_QUEUED_FRAMES: usize = 1_024;
+/// Pause after a broken connection or the first failed attempt. Short, because after a power loss
+/// of all machines the other end is about to listen.
 const FIRST_RECONNECT_PAUSE: Duration = Duration::from_millis(40);
-/// Longest pause, to which the first is doubled.
-const LONGEST_RECONNECT_PAUSE: Duration = Duration::from_millis(320);
+/// Limit up to which the pause is doubled after each failed attempt.
+const MAX_RECONNECT_PAUSE: Duration = Duration::from_millis(320);
 
-/// What a process does in the fleet.
+/// Role of a process in the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum PeerRole {
-    /// Takes callers' requests.
+    /// Handles callers' requests.
     Router,
     /// Keeps the replicated state.
     Control,
 }
 
-/// How a process introduces itself at the start of a connection.
+/// Information on a process, sent in the first frame of a connection.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerInfo {
-    /// The machine and the life of its process.
+    /// The machine and the incarnation of the process.
     pub node: NodeId,
     /// Its role.
     pub role: PeerRole,
-    /// The zone it stands in.
+    /// The zone of the machine.
     pub zone: ZoneName,
-    /// Where it accepts connections of the fleet.
+    /// Address at which it accepts connections of the fleet.
     pub listen_address: SocketAddr,
 }
 
-/// Names one connection for as long as it lasts.
+/// Identifies one connection for as long as it lasts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LinkId(u64);
 
 impl LinkId {
-    /// The connection with a number, for tests of what keeps books by connection.
+    /// Creates an identifier, for tests of code that keeps state by connection.
     pub fn from_raw(number: u64) -> Self {
         Self(number)
     }
 }
 
-/// News of a connection.
+/// An event of a connection.
 #[derive(Debug)]
 pub enum LinkEvent<M> {
-    /// The two ends have introduced themselves.
+    /// The connection is established and both ends have exchanged their [`PeerInfo`].
     Up {
         /// The connection.
         link: LinkId,
@@ -70,14 +70,14 @@
         /// The address that was dialed; `None` if the other end opened the connection.
         dialed: Option<SocketAddr>,
     },
-    /// A message has arrived.
+    /// A message was received.
     Message {
         /// The connection.
         link: LinkId,
         /// The content.
         message: M,
     },
-    /// The connection is gone.
+    /// The connection is closed.
     Down {
         /// The connection.
         link: LinkId,
@@ -95,7 +95,7 @@
     links: RefCell<BTreeMap<LinkId, mpsc::Sender<Bytes>>>,
     dialed: RefCell<BTreeSet<SocketAddr>>,
     next_link: Cell<u64>,
-    refused_lines: LineLimit,
+    decode_error_lines: LineLimit,
     message: PhantomData<M>,
 }
 
@@ -106,7 +106,7 @@
 }
 
 impl<M: Serialize + DeserializeOwned + 'static> Mesh<M> {
-    /// A mesh without connections and the receiver of its events.
+    /// Creates a mesh without connections, and the receiver of its events.
     pub fn new(own: PeerInfo) -> (Self, mpsc::UnboundedReceiver<LinkEvent<M>>) {
         let (events, receiver) = mpsc::unbounded_channel();
         let shared = Shared {
@@ -115,13 +115,13 @@
             links: RefCell::default(),
             dialed: RefCell::default(),
             next_link: Cell::new(1),
-            refused_lines: LineLimit::default(),
+            decode_error_lines: LineLimit::default(),
             message: PhantomData,
         };
         (Self { shared: Rc::new(shared) }, receiver)
     }
 
-    /// Accepts connections at `address` from now on.
+    /// Starts accepting connections at `address`.
     pub async fn listen(&self, address: SocketAddr) -> Result<(), PeerError> {
         let listener = TcpListener::bind(address)
             .await
@@ -133,17 +133,18 @@
                     Ok((stream, _)) => {
                         let mesh = mesh.clone();
                         tokio::task::spawn_local(async move {
-                            mesh.serve(connection::framed(stream), None).await;
+                            mesh.serve(connection::frame_stream(stream), None).await;
                         });
                     }
-                    Err(_) => sleep(LONGEST_RECONNECT_PAUSE).await,
+                    Err(_) => sleep(MAX_RECONNECT_PAUSE).await,
                 }
             }
         });
         Ok(())
     }
 
-    /// Keeps a connection to `address` until [`Self::stop_dialing`]. Does nothing if there is one.
+    /// Keeps a connection to `address` open until [`Self::stop_dialing`]. Does nothing if the
+    /// address is dialed already.
     pub fn dial(&self, address: SocketAddr) {
         if !self.shared.dialed.borrow_mut().insert(address) {
             return;
@@ -152,22 +153,22 @@
         tokio::task::spawn_local(async move {
             let mut pause = FIRST_RECONNECT_PAUSE;
             while mesh.shared.dialed.borrow().contains(&address) {
-                if let Ok(stream) = connection::open(address).await {
+                if let Ok(stream) = connection::connect(address).await {
                     mesh.serve(stream, Some(address)).await;
                     pause = FIRST_RECONNECT_PAUSE;
                 }
                 sleep(pause).await;
-                pause = (pause * 2).min(LONGEST_RECONNECT_PAUSE);
+                pause = (pause * 2).min(MAX_RECONNECT_PAUSE);
             }
         });
     }
 
-    /// Dials `address` no more; an open connection stays until it breaks.
+    /// Stops dialing `address`; an open connection stays until it breaks.
     pub fn stop_dialing(&self, address: SocketAddr) {
         self.shared.dialed.borrow_mut().remove(&address);
     }
 
-    /// Queues a message; it is dropped if the connection is gone or too slow.
+    /// Queues a message; it is dropped if the connection is closed or its queue is full.
     pub fn send(&self, link: LinkId, message: &M) {
         self.send_encoded(link, encode(message));
     }
@@ -182,16 +183,16 @@
 
     fn send_encoded(&self, link: LinkId, frame: Bytes) {
         if let Some(outgoing) = self.shared.links.borrow().get(&link) {
-            // Messages may be lost; whoever needs one sends it again.
+            // Messages may be lost; senders resend those that must arrive.
             let _ = outgoing.try_send(frame);
         }
     }
 
     async fn serve(&self, mut stream: FrameStream, dialed: Option<SocketAddr>) {
-        let hello = Bytes::from(
-            postcard::to_stdvec(&self.shared.own).expect("an introduction can be encoded"),
+        let own_info_frame = Bytes::from(
+            postcard::to_stdvec(&self.shared.own).expect("peer information can be encoded"),
         );
-        if stream.send(hello).await.is_err() {
+        if stream.send(own_info_frame).await.is_err() {
             return;
         }
         let Ok(frame) = connection::next_frame(&mut stream).await else {
@@ -199,33 +200,34 @@
         };
         let peer = match postcard::from_bytes::<PeerInfo>(&frame) {
             Ok(peer) => peer,
-            Err(error) => return self.refused("an introduction", &error),
+            Err(error) => return self.log_undecodable("peer information", &error),
         };
         let link = LinkId(self.shared.next_link.get());
         self.shared.next_link.set(link.0 + 1);
-        let (sender, mut outgoing) = mpsc::channel(OUTGOING_LIMIT);
+        let (sender, mut outgoing) = mpsc::channel(MAX_QUEUED_FRAMES);
         self.shared.links.borrow_mut().insert(link, sender);
         self.emit(LinkEvent::Up { link, peer, dialed });
-        let ended =
+        let result =
             connection::run(stream, &mut outgoing, |frame| match postcard::from_bytes(&frame) {
                 Ok(message) => self.emit(LinkEvent::Message { link, message }),
-                Err(error) => self.refused("a message", &error),
+                Err(error) => self.log_undecodable("message", &error),
             })
             .await;
-        log::debug!(step = "mesh"; "connection ended: {ended:?}");
+        log::debug!(step = "mesh"; "connection ended: {result:?}");
         self.shared.links.borrow_mut().remove(&link);
         self.emit(LinkEvent::Down { link });
     }
 
-    /// What can't be read is passed over. Anyone who reaches the port can send such, so lines are bounded.
-    fn refused(&self, what: &str, error: &postcard::Error) {
-        if let Some(held_back) = self.shared.refused_lines.pass(Instant::now()) {
-            log::warn!(step = "decode", held_back = held_back; "{what} can't be read: {error}");
+    /// Logs a frame that can't be decoded; it is ignored. Any host that reaches the port can send
+    /// such frames, so the log lines are rate limited.
+    fn log_undecodable(&self, what: &str, error: &postcard::Error) {
+        if let Some(held_back) = self.shared.decode_error_lines.pass(Instant::now()) {
+            log::warn!(step = "decode", held_back = held_back; "{what} can't be decoded: {error}");
         }
     }
 
     fn emit(&self, event: LinkEvent<M>) {
-        // The receiver lives as long as the process.
+        // The receiver exists as long as the process.
         let _ = self.shared.events.send(event);
     }
 }
--- a/crates/storage/src/disk.rs
+++ b/crates/storage/src/disk.rs
@@ -1,4 +1,4 @@
-//! The file operations that the log store needs.
+//! The file operations used by the log store.
 
 use std::io;
 use thiserror::Error;
@@ -7,7 +7,7 @@
 #[derive(Debug, Error)]
 #[error("storage: {operation} `{file}`: {source}")]
 pub struct DiskError {
-    /// What was being done.
+    /// The operation that failed.
     pub operation: &'static str,
     /// The file, relative to the data folder.
     pub file: String,
@@ -15,20 +15,20 @@
     pub source: io::Error,
 }
 
-/// One data folder. Nothing is durable until it has been synced.
+/// One data folder. Writes are durable only after a sync, except where noted.
 pub trait Disk {
     /// Names of all files, sorted.
     fn list(&self) -> Result<Vec<String>, DiskError>;
-    /// The whole content of a file.
+    /// Reads the content of a file.
     fn read(&self, file: &str) -> Result<Vec<u8>, DiskError>;
-    /// Adds to the end of a file, creating it if need be. Not durable before [`Self::sync`].
+    /// Appends to a file, which is created if it does not exist. Not durable before [`Self::sync`].
     fn append(&mut self, file: &str, bytes: &[u8]) -> Result<(), DiskError>;
-    /// Makes all that was appended to a file durable, and the file's existence with it.
+    /// Makes all appended bytes of a file, and the existence of the file, durable.
     fn sync(&mut self, file: &str) -> Result<(), DiskError>;
-    /// Replaces a file at once and durably: after a crash it holds either the old or the new
+    /// Replaces a file atomically and durably: after a crash it holds either the old or the new
     /// content.
     fn replace(&mut self, file: &str, bytes: &[u8]) -> Result<(), DiskError>;
-    /// Cuts a file to `length` bytes, durably.
+    /// Truncates a file to `length` bytes, durably.
     fn truncate(&mut self, file: &str, length: u64) -> Result<(), DiskError>;
     /// Removes a file.
     fn remove(&mut self, file: &str) -> Result<(), DiskError>;
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -1,11 +1,11 @@
 //! The data folder of a control replica.
 //!
-//! [`LogStore`] keeps Raft's hard state and entries in append-only segments and the newest
-//! snapshot in a file of its own. Every record carries a checksum. A torn tail, left by a loss of
-//! power in the middle of a write, is cut off; a damaged record with intact ones after it makes
-//! the store refuse to open, because what it held may have been acknowledged.
+//! [`LogStore`] keeps Raft's hard state and entries in append-only segments and the latest snapshot
+//! in a separate file. Every record carries a checksum. A torn tail, left by a power loss in the
+//! middle of a write, is truncated. If a damaged record is followed by intact ones, the store
+//! refuses to open, because the damaged record may have been acknowledged.
 //!
-//! All file access goes through [`Disk`], so that tests can lose what was not synced.
+//! All file access goes through [`Disk`], so that tests can simulate the loss of unsynced writes.
 
 mod disk;
 mod file_disk;
--- a/crates/storage/src/log_store.rs
+++ b/crates/storage/src/log_store.rs
@@ -1,4 +1,4 @@
-//! Raft's durable state in segments and snapshots.
+//! Stores Raft's durable state in segments and snapshots.
 
 use crate::disk::{Disk, DiskError};
 use crate::record::{self, Framed};
@@ -10,7 +10,7 @@
 const SNAPSHOT_FILE: &str = "snapshot";
 const SEGMENT_PREFIX: &str = "log-";
 
-/// Why a data folder could not be opened or written.
+/// Reason for which a data folder could not be opened or written.
 #[derive(Debug, Error)]
 pub enum StoreError {
     /// A file operation failed.
@@ -25,7 +25,7 @@
     Damaged {
         /// The file.
         file: String,
-        /// Where.
+        /// Offset of the damaged record in bytes.
         position: usize,
     },
 }
@@ -34,13 +34,13 @@
 enum Record {
     HardState(HardState),
     Entry(Entry),
-    /// All that one `append` wrote. It stands under one checksum: after a loss of power any part
-    /// of the last write may be missing, and an intact entry behind a missing one would look like
-    /// damage to what had been synced.
+    /// All records of one `append`, under one checksum: after a power loss any part of the last
+    /// write may be missing, and an intact entry after a missing one would look like damage to
+    /// synced data.
     Batch(Vec<Record>),
 }
 
-/// The durable side of one replica. Every method that writes syncs before it returns.
+/// The durable state of one replica. Every method that writes syncs before it returns.
 #[derive(Debug)]
 pub struct LogStore<D> {
     disk: D,
@@ -50,7 +50,7 @@
 }
 
 impl<D: Disk> LogStore<D> {
-    /// Makes a new data folder under `identity`.
+    /// Creates a new data folder with `identity`.
     pub fn create(mut disk: D, identity: u64) -> Result<Self, StoreError> {
         let content = record::encode(&identity.to_le_bytes());
         disk.replace(IDENTITY_FILE, &content)?;
@@ -62,7 +62,7 @@
         Ok(disk.list()?.iter().any(|file| file == IDENTITY_FILE))
     }
 
-    /// Opens an existing data folder and reads what it holds.
+    /// Opens an existing data folder and reads its state.
     pub fn open(disk: D) -> Result<(Self, RestoredState), StoreError> {
         let files = disk.list()?;
         let identity = read_identity(&disk)?;
@@ -81,16 +81,16 @@
             store.generation = generation_of(last);
             store.segment = last.clone();
         }
-        drop_what_the_snapshot_replaces(&mut restored);
+        drop_entries_covered_by_snapshot(&mut restored);
         Ok((store, restored))
     }
 
-    /// The identity drawn when the folder was made.
+    /// The identity that was generated with the data folder.
     pub fn identity(&self) -> u64 {
         self.identity
     }
 
-    /// Appends and syncs in one step what a `Ready` asks to be made durable.
+    /// Appends and syncs in one write what a `Ready` requires to be durable.
     pub fn append(
         &mut self,
         hard_state: Option<&HardState>,
@@ -107,9 +107,9 @@
         Ok(())
     }
 
-    /// Stores a snapshot and starts a new segment with `hard_state` and the entries that follow
-    /// the snapshot; the older segments are removed last, so that a crash at any point leaves
-    /// either the old or the new state readable.
+    /// Stores a snapshot and starts a new segment with `hard_state` and the entries after the
+    /// snapshot. Older segments are removed last, so that either the old or the new state can be
+    /// read after a crash at any point.
     pub fn install(
         &mut self,
         snapshot: &Snapshot,
@@ -160,7 +160,7 @@
     }
 }
 
-/// An entry replaces everything from its index on.
+/// Applies a record to the restored state. An entry replaces all entries from its index on.
 fn replay(record: Record, restored: &mut RestoredState) {
     match record {
         Record::HardState(hard_state) => restored.hard_state = hard_state,
@@ -174,9 +174,10 @@
     }
 }
 
-/// Entries up to the snapshot are covered by it. Those after it are kept only if they follow on
-/// from it: a crash just after a foreign snapshot was stored leaves the old log beside it.
-fn drop_what_the_snapshot_replaces(restored: &mut RestoredState) {
+/// Removes entries that the snapshot covers. Later entries are kept only if they follow on from the
+/// snapshot: a crash right after a snapshot from another replica was stored leaves the old log in
+/// place.
+fn drop_entries_covered_by_snapshot(restored: &mut RestoredState) {
     let Snapshot { index, term, .. } = restored.snapshot;
     let conflicts = restored.entries.iter().any(|held| held.index == index && held.term != term);
     restored.entries.retain(|entry| entry.index > index && !conflicts);
--- a/crates/storage/src/memory_disk.rs
+++ b/crates/storage/src/memory_disk.rs
@@ -1,4 +1,4 @@
-//! A data folder in memory that can forget what was not synced.
+//! An in-memory data folder that can lose unsynced writes.
 
 use crate::disk::{Disk, DiskError};
 use std::cell::RefCell;
@@ -19,14 +19,15 @@
     ignore_sync: bool,
 }
 
-/// A folder shared between a process under test and the test, which survives the process.
+/// A folder shared between a process under test and the test, and kept when the process ends.
 #[derive(Clone, Debug, Default)]
 pub struct MemoryDisk {
     folder: Rc<RefCell<Folder>>,
 }
 
 impl MemoryDisk {
-    /// Loses power: each file keeps what was synced and the first `torn_bytes` after it.
+    /// Simulates a power loss: each file keeps the synced bytes and the first `torn_bytes` after
+    /// them.
     pub fn simulate_power_loss(&self, torn_bytes: usize) {
         for file in self.folder.borrow_mut().files.values_mut() {
             let kept = (file.synced + torn_bytes).min(file.content.len());
@@ -36,31 +37,31 @@
         self.folder.borrow_mut().files.retain(|_, file| file.synced > 0);
     }
 
-    /// Loses everything.
+    /// Removes all files.
     pub fn erase(&self) {
         self.folder.borrow_mut().files.clear();
     }
 
-    /// Refuses writes once the folder holds `bytes`.
+    /// Limits the folder to `bytes`; appends beyond the limit fail. `None` removes the limit.
     pub fn set_capacity(&self, bytes: Option<usize>) {
         self.folder.borrow_mut().capacity = bytes;
     }
 
-    /// Makes syncs report success without effect: a defect for tests of the tests.
+    /// Makes syncs report success without effect: a fault that the tests themselves must detect.
     pub fn ignore_sync(&self, ignore: bool) {
         self.folder.borrow_mut().ignore_sync = ignore;
     }
 
     /// Flips one bit of a file.
     pub fn flip_bit(&self, file: &str, offset: usize) {
-        if let Some(held) = self.folder.borrow_mut().files.get_mut(file)
-            && let Some(byte) = held.content.get_mut(offset)
+        if let Some(stored) = self.folder.borrow_mut().files.get_mut(file)
+            && let Some(byte) = stored.content.get_mut(offset)
         {
             *byte ^= 1;
         }
     }
 
-    /// Whether nothing is stored.
+    /// Whether the folder has no files.
     pub fn is_empty(&self) -> bool {
         self.folder.borrow().files.is_empty()
     }
@@ -73,17 +74,17 @@
 
     fn read(&self, file: &str) -> Result<Vec<u8>, DiskError> {
         let folder = self.folder.borrow();
-        let held = folder.files.get(file).ok_or_else(|| DiskError {
+        let stored = folder.files.get(file).ok_or_else(|| DiskError {
             operation: "read",
             file: file.to_string(),
             source: io::ErrorKind::NotFound.into(),
         })?;
-        Ok(held.content.clone())
+        Ok(stored.content.clone())
     }
 
     fn append(&mut self, file: &str, bytes: &[u8]) -> Result<(), DiskError> {
         let mut folder = self.folder.borrow_mut();
-        let used: usize = folder.files.values().map(|held| held.content.len()).sum();
+        let used: usize = folder.files.values().map(|stored| stored.content.len()).sum();
         if folder.capacity.is_some_and(|capacity| used + bytes.len() > capacity) {
             return Err(DiskError {
                 operation: "append to",
@@ -91,8 +92,8 @@
                 source: io::ErrorKind::StorageFull.into(),
             });
         }
-        let held = folder.files.entry(file.to_string()).or_default();
-        held.content.extend_from_slice(bytes);
+        let stored = folder.files.entry(file.to_string()).or_default();
+        stored.content.extend_from_slice(bytes);
         Ok(())
     }
 
@@ -101,23 +102,23 @@
         if folder.ignore_sync {
             return Ok(());
         }
-        if let Some(held) = folder.files.get_mut(file) {
-            held.synced = held.content.len();
+        if let Some(stored) = folder.files.get_mut(file) {
+            stored.synced = stored.content.len();
         }
         Ok(())
     }
 
     fn replace(&mut self, file: &str, bytes: &[u8]) -> Result<(), DiskError> {
         let mut folder = self.folder.borrow_mut();
-        let held = MemoryFile { content: bytes.to_vec(), synced: bytes.len() };
-        folder.files.insert(file.to_string(), held);
+        let stored = MemoryFile { content: bytes.to_vec(), synced: bytes.len() };
+        folder.files.insert(file.to_string(), stored);
         Ok(())
     }
 
     fn truncate(&mut self, file: &str, length: u64) -> Result<(), DiskError> {
-        if let Some(held) = self.folder.borrow_mut().files.get_mut(file) {
-            held.content.truncate(length as usize);
-            held.synced = held.content.len();
+        if let Some(stored) = self.folder.borrow_mut().files.get_mut(file) {
+            stored.content.truncate(length as usize);
+            stored.synced = stored.content.len();
         }
         Ok(())
     }
--- a/crates/storage/src/record.rs
+++ b/crates/storage/src/record.rs
@@ -5,18 +5,18 @@
 /// Bytes before the content: magic number, length and CRC-32, little endian.
 const HEADER_BYTES: usize = 12;
 
-/// What follows at a position of a file.
+/// Result of decoding at a position of a file.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum Framed<'a> {
     /// An intact record and the position after it.
     Record(&'a [u8], usize),
     /// The end of the file.
     End,
-    /// Neither.
+    /// Damaged or incomplete data.
     Broken,
 }
 
-/// Frames `content`.
+/// Encodes `content` as a record.
 pub(crate) fn encode(content: &[u8]) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(HEADER_BYTES + content.len());
     bytes.extend_from_slice(&MAGIC);
@@ -26,7 +26,7 @@
     bytes
 }
 
-/// Reads the record at `position`.
+/// Decodes the record at `position`.
 pub(crate) fn decode_at(bytes: &[u8], position: usize) -> Framed<'_> {
     if position == bytes.len() {
         return Framed::End;
@@ -37,13 +37,13 @@
     if header[..4] != MAGIC {
         return Framed::Broken;
     }
-    let number = |from: usize| {
+    let u32_at = |from: usize| {
         u32::from_le_bytes([header[from], header[from + 1], header[from + 2], header[from + 3]])
     };
     let start = position + HEADER_BYTES;
-    let end = start + number(4) as usize;
+    let end = start + u32_at(4) as usize;
     match bytes.get(start..end) {
-        Some(content) if crc32fast::hash(content) == number(8) => Framed::Record(content, end),
+        Some(content) if crc32fast::hash(content) == u32_at(8) => Framed::Record(content, end),
         _ => Framed::Broken,
     }
 }
--- a/crates/storage/tests/log_store.rs
+++ b/crates/storage/tests/log_store.rs
@@ -1,4 +1,4 @@
-//! The log store keeps what it has acknowledged, whatever the disk does to the rest.
+//! The log store keeps all acknowledged records, whatever the disk loses of later writes.
 
 use proptest::prelude::*;
 use stackpost_consensus::{Entry, HardState, Payload, RestoredState, Snapshot, Voters};
@@ -10,27 +10,27 @@
     Entry { term, index, payload: Payload::Command(vec![index as u8; 20]) }
 }
 
-fn reopened(disk: &MemoryDisk) -> RestoredState {
+fn reopen(disk: &MemoryDisk) -> RestoredState {
     LogStore::open(disk.clone()).expect("opens").1
 }
 
 #[test]
-fn a_torn_tail_is_cut_and_acknowledged_entries_stay() {
+fn torn_tail_is_truncated_and_acknowledged_entries_stay() {
     let disk = MemoryDisk::default();
     let mut store = LogStore::create(disk.clone(), 9).expect("created");
     store
         .append(Some(&HardState { term: 3, voted_for: None, commit: 0 }), &[entry(1, 3)])
         .expect("synced");
-    // A write that never was synced, of which a few bytes reach the disk.
+    // An unsynced write, of which a few bytes reach the disk.
     disk.clone().append(SEGMENT, &[1; 50]).expect("written");
     disk.simulate_power_loss(11);
-    let restored = reopened(&disk);
+    let restored = reopen(&disk);
     assert_eq!(restored.entries, vec![entry(1, 3)]);
     assert_eq!(restored.hard_state.term, 3);
 }
 
 #[test]
-fn a_damaged_middle_refuses_to_open() {
+fn damage_before_intact_records_prevents_opening() {
     let disk = MemoryDisk::default();
     let mut store = LogStore::create(disk.clone(), 9).expect("created");
     for index in 1..=3 {
@@ -42,9 +42,9 @@
     assert!(error.to_string().contains("rejoins under a new identity"), "{error}");
 }
 
-/// After a loss of power any part of the last write may be missing, with later parts present.
+/// After a power loss any part of the last write may be missing while later parts are present.
 #[test]
-fn a_last_write_with_a_hole_is_cut_as_a_whole() {
+fn last_write_with_a_hole_is_dropped_completely() {
     let disk = MemoryDisk::default();
     let mut store = LogStore::create(disk.clone(), 9).expect("created");
     store.append(None, &[entry(1, 1)]).expect("synced");
@@ -53,9 +53,9 @@
     store.append(None, &batch).expect("written");
     let written = disk.read(SEGMENT).expect("read").len();
     for hole in synced..written {
-        let struck = copy_of(&disk);
-        struck.flip_bit(SEGMENT, hole);
-        assert_eq!(reopened(&struck).entries, vec![entry(1, 1)], "hole at byte {hole}");
+        let faulted = copy_of(&disk);
+        faulted.flip_bit(SEGMENT, hole);
+        assert_eq!(reopen(&faulted).entries, vec![entry(1, 1)], "hole at byte {hole}");
     }
 }
 
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_full_disk_is_an_error_and_loses_nothing() {
+fn full_disk_is_an_error_and_loses_nothing() {
     let disk = MemoryDisk::default();
     let mut store = LogStore::create(disk.clone(), 9).expect("created");
     store.append(None, &[entry(1, 1)]).expect("synced");
@@ -76,20 +76,21 @@
     let error = store.append(None, &[entry(2, 1)]).expect_err("full");
     assert!(error.to_string().starts_with("storage: append to"), "{error}");
     disk.set_capacity(None);
-    assert_eq!(reopened(&disk).entries, vec![entry(1, 1)]);
+    assert_eq!(reopen(&disk).entries, vec![entry(1, 1)]);
 }
 
 #[test]
-fn a_snapshot_replaces_the_log_before_it_also_after_a_crash_in_between() {
+fn snapshot_replaces_the_earlier_log_even_after_a_crash() {
     let disk = MemoryDisk::default();
     let mut store = LogStore::create(disk.clone(), 9).expect("created");
     store.append(None, &[entry(1, 1), entry(2, 1), entry(3, 1)]).expect("synced");
     let snapshot = Snapshot { index: 2, term: 1, voters: Voters::new(), data: vec![7] };
     store.install(&snapshot, &HardState::default(), &[entry(3, 1)]).expect("installed");
-    let restored = reopened(&disk);
+    let restored = reopen(&disk);
     assert_eq!((restored.snapshot.index, restored.entries), (2, vec![entry(3, 1)]));
 
-    // A foreign snapshot arrived, and the process died before the old segment was removed.
+    // A snapshot of another replica was stored, and the process ended before the old segment was
+    // removed.
     let disk = MemoryDisk::default();
     let mut store = LogStore::create(disk.clone(), 9).expect("created");
     store.append(None, &[entry(1, 1), entry(2, 1), entry(3, 1)]).expect("synced");
@@ -97,12 +98,12 @@
     disk.set_capacity(Some(0));
     store.install(&foreign, &HardState::default(), &[]).expect_err("full");
     disk.set_capacity(None);
-    let restored = reopened(&disk);
+    let restored = reopen(&disk);
     assert_eq!((restored.snapshot.term, restored.entries), (5, Vec::new()));
 }
 
 #[test]
-fn a_real_folder_is_kept_and_locked() {
+fn file_system_folder_is_locked_and_kept() {
     let folder = tempfile::tempdir().expect("a folder");
     let disk = FileDisk::open(folder.path()).expect("opened");
     let mut store = LogStore::create(disk, 77).expect("created");
@@ -116,7 +117,7 @@
 }
 
 proptest! {
-    /// Whatever is lost after the last sync, all records before it are read again.
+    /// All records before the last sync are read again, whatever is lost after it.
     #[test]
     fn synced_records_survive_any_loss(
         synced in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..40), 0..12),
