--- a/crates/coordinator/src/control_metrics.rs
+++ b/crates/coordinator/src/control_metrics.rs
@@ -129,13 +129,13 @@
         self.departures.add(1, &labels);
     }
 
-    pub(crate) fn on_sightings(&self, taken: usize, passed_over: usize) {
-        self.sightings.add(taken as u64, &[KeyValue::new("engine", "ended")]);
-        self.sightings.add(passed_over as u64, &[KeyValue::new("engine", "has_run_since")]);
+    pub(crate) fn on_sightings(&self, accepted: usize, ignored: usize) {
+        self.sightings.add(accepted as u64, &[KeyValue::new("engine", "ended")]);
+        self.sightings.add(ignored as u64, &[KeyValue::new("engine", "has_run_since")]);
     }
 
-    pub(crate) fn on_round(&self, took: Duration) {
-        self.round_seconds.record(took.as_secs_f64(), &[]);
+    pub(crate) fn on_round(&self, duration: Duration) {
+        self.round_seconds.record(duration.as_secs_f64(), &[]);
     }
 
     /// Records the gauges; called at regular intervals.
--- a/crates/coordinator/src/control_node.rs
+++ b/crates/coordinator/src/control_node.rs
@@ -326,7 +326,7 @@
         }
     }
 
-    /// Sends the quarantined requests to all routers if this replica leads.
+    /// Sends the quarantine notice to all routers if this replica leads.
     fn broadcast_quarantine(&self) {
         let view = self.replica.view();
         if view.leads() {
--- a/crates/coordinator/src/prepaid_planner.rs
+++ b/crates/coordinator/src/prepaid_planner.rs
@@ -23,7 +23,7 @@
 /// Shortest time between two forecasts sent to the routers.
 const FORECAST_INTERVAL: Millis = Millis(500);
 
-/// Least time between two log lines about the same short budget.
+/// Shortest time between two log lines about a shortage of the same budget.
 const SHORTAGE_LOG_INTERVAL: Millis = Millis(1_000);
 
 /// Time for which a new incarnation of a machine must have reported before earlier ones are
--- a/crates/coordinator/src/replica_api.rs
+++ b/crates/coordinator/src/replica_api.rs
@@ -140,7 +140,7 @@
     Forecasts(BTreeMap<TenantName, BudgetForecast>),
     /// Confirm to a router that its incarnation is closed.
     FinalUsageAck(NodeId),
-    /// The set of quarantined requests has changed.
+    /// The quarantine notice for routers has changed.
     QuarantineChanged,
     /// The engines' departures have changed.
     DeparturesChanged,
--- a/crates/coordinator/src/replica_logger.rs
+++ b/crates/coordinator/src/replica_logger.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 
 /// Time for which a line with the same content is suppressed.
-const REPEAT_AFTER: Millis = Millis(2_000);
+const REPEAT_SUPPRESSION: Millis = Millis(2_000);
 /// Time without a leader after which a replica logs it.
 const LEADERLESS_LOG_DELAY: Millis = Millis(2_000);
 
@@ -84,7 +84,7 @@
     }
 
     fn log_unless_repeated(&mut self, now: Timestamp, line: String) {
-        self.logged_at.retain(|_, at| now.since(*at) < REPEAT_AFTER);
+        self.logged_at.retain(|_, at| now.since(*at) < REPEAT_SUPPRESSION);
         if self.logged_at.contains_key(&line) {
             return;
         }
--- a/crates/coordinator/src/state.rs
+++ b/crates/coordinator/src/state.rs
@@ -65,7 +65,7 @@
     DocumentAccepted,
     /// A configuration with the same or a higher version was in force already.
     DocumentSuperseded,
-    /// The set of quarantined requests has changed.
+    /// The quarantine notice for routers has changed.
     QuarantineChanged,
     /// The engines' departures have changed.
     DeparturesChanged,
