--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -71,7 +71,7 @@
         self.send(from, Message::PreVoteReply { term, granted, just_started });
     }
 
-    /// Reason for which this replica would not vote for `candidate`. The lease is checked last,
+    /// The reason why this replica would not vote for `candidate`. The lease is checked last,
     /// because the other reasons hold whether or not this replica has just started.
     fn pre_vote_refusal(
         &self,
@@ -92,7 +92,7 @@
         self.has_live_leader().then_some(VoteRefusal::LeaseMayBeActive)
     }
 
-    /// Reason for which this replica votes for no candidate with such a log, whatever the term.
+    /// The reason why this replica votes for no candidate with such a log, whatever the term.
     /// Whether this replica is a voter is not checked: the candidate's log decides whose votes
     /// count.
     fn vote_refusal(&self, last_index: LogIndex, last_term: Term) -> Option<VoteRefusal> {
--- a/crates/consensus/src/election_event.rs
+++ b/crates/consensus/src/election_event.rs
@@ -4,7 +4,7 @@
 use stackpost_types::MachineName;
 use std::fmt;
 
-/// Reason for which a replica does not vote for a candidate.
+/// The reason why a replica does not vote for a candidate.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum VoteRefusal {
     /// The candidate lacks entries that this replica holds.
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -18,7 +18,7 @@
 /// appends continuously.
 const CATCH_UP_ENTRIES: u64 = 64;
 
-/// Reason for which the voters can't be changed now.
+/// The reason why the voters can't be changed now.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum VoterChangeError {
     /// Only a leader can change the voters.
--- a/crates/coordinator/src/engine_updates.rs
+++ b/crates/coordinator/src/engine_updates.rs
@@ -13,7 +13,7 @@
 use stackpost_types::{BackEndName, Timestamp};
 use thiserror::Error;
 
-/// Reason for which an announcement is not acknowledged.
+/// The reason why an announcement is not acknowledged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum AnnouncementError {
     /// The configuration in force has no such service. The state is unchanged.
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -1,7 +1,7 @@
 //! The replicated state of a gateway fleet and the process that keeps it.
 //!
-//! - [`FleetState`]: the configuration document, the prepaid ledger, the quarantine and the engines'
-//!   departures, changed only by committed [`Command`]s.
+//! - [`FleetState`]: the configuration document, the prepaid ledger, the quarantine and the
+//!   departures of engines, changed only by committed [`Command`]s.
 //! - [`Replica`]: one replica without sockets; [`ReplicaThread`] runs it on a thread of its own.
 //! - [`ControlNode`]: the control process, which connects the replica to peers, routers and
 //!   engines.
--- a/crates/coordinator/src/replica_api.rs
+++ b/crates/coordinator/src/replica_api.rs
@@ -38,7 +38,7 @@
     pub codec: Arc<dyn DocumentCodec>,
 }
 
-/// Reason for which a replica can't continue.
+/// The reason why a replica can't continue.
 #[derive(Debug, Error)]
 pub enum ReplicaError {
     /// The data folder can't be read or written.
--- a/crates/coordinator/tests/replacement.rs
+++ b/crates/coordinator/tests/replacement.rs
@@ -54,8 +54,8 @@
             lose_machine_or_disk(&mut world);
             run_with_leader_kills(&mut world, CATCH_UP_TIME_MS + RESTART_PAUSE_MS);
             put_everywhere(&mut world);
-            let rest = world.rng.random_range(300..3_000);
-            world.run_for(rest);
+            let pause = world.rng.random_range(300..3_000);
+            world.run_for(pause);
             assert!(world.any_read_answered(), "seed {seed}: no read answered after loss {loss}");
         }
         world.all_lose_power();
--- a/crates/storage/src/log_store.rs
+++ b/crates/storage/src/log_store.rs
@@ -10,7 +10,7 @@
 const SNAPSHOT_FILE: &str = "snapshot";
 const SEGMENT_PREFIX: &str = "log-";
 
-/// Reason for which a data folder could not be opened or written.
+/// The reason why a data folder could not be opened or written.
 #[derive(Debug, Error)]
 pub enum StoreError {
     /// A file operation failed.
