--- a/crates/coordinator/src/replica_thread.rs
+++ b/crates/coordinator/src/replica_thread.rs
@@ -150,7 +150,7 @@
             self.metrics.on_round(round_start.elapsed());
             self.publish(&replica);
             for effect in effects {
-                // The receiver lives as long as the process.
+                // The receiver exists as long as the process.
                 let _ = self.effects.send(effect);
             }
         }
--- a/crates/coordinator/tests/support/mod.rs
+++ b/crates/coordinator/tests/support/mod.rs
@@ -361,8 +361,8 @@
 
     pub fn inject_fault(&mut self) {
         let machine = self.rng.random_range(0..self.machines.len());
-        let which = self.rng.random_range(0..9);
-        match which {
+        let fault = self.rng.random_range(0..9);
+        match fault {
             0 => self.stop(machine, 500),
             1 => {
                 self.machines[machine].disk.simulate_power_loss(self.rng.random_range(0..200));
