--- a/crates/router-core/src/accounts.rs
+++ b/crates/router-core/src/accounts.rs
@@ -1,4 +1,5 @@
-//! Accounts owned and backed up here: views, mirroring, the search for a backup, adoption.
+//! Accounts that this router owns or backs up: ownership changes, mirroring, choice of a backup,
+//! and adoption of accounts that were taken over.
 
 use crate::call::CallId;
 use crate::effect::Effect;
@@ -10,16 +11,16 @@
 use stackpost_types::*;
 use std::collections::BTreeMap;
 
-/// Silence of a backup after which another one is looked for.
+/// Time without an acknowledgement from the backup after which another one is chosen.
 const BACKUP_TIMEOUT: Millis = Millis(1_000);
-/// Silence of a candidate after which the next one is tried.
+/// Time without an acknowledgement from a candidate after which the next one is tried.
 const CANDIDATE_TIMEOUT: Millis = Millis(600);
-/// How long a node that did not answer is passed over.
-const AVOID_FOR: Millis = Millis(5_000);
+/// How long a candidate that timed out is not chosen again.
+const AVOIDANCE_PERIOD: Millis = Millis(5_000);
 /// Time between two requests to make a candidate the backup.
-const REQUEST_INTERVAL: Millis = Millis(200);
+const BACKUP_REQUEST_INTERVAL: Millis = Millis(200);
 
-/// What is known of other routers as backups.
+/// State of the choice of a backup.
 #[derive(Debug, Default)]
 pub(crate) struct BackupSearch {
     avoided_until: BTreeMap<NodeId, Timestamp>,
@@ -33,28 +34,29 @@
 }
 
 impl Router {
-    /// Whether the own account has a backup.
+    /// Whether the main account has a backup.
     pub(crate) fn has_backup(&self) -> bool {
         self.owned.get(&self.main).is_some_and(|main| main.backup().is_some())
     }
 
-    /// Whether the backup has been out of reach for so long that a new one would have been found
-    /// if the control plane could be reached. The router then lives on its unmirrored account.
+    /// Whether the backup has been unreachable for so long that a new one would have been
+    /// installed if the control plane were reachable. The router then spends only from its
+    /// unmirrored (solo) account.
     pub(crate) fn is_solo(&self) -> bool {
         let timeout = Millis(self.directory.policy().router_timeout_ms);
         let main = self.owned.get(&self.main);
         main.and_then(|main| main.backup_silence(self.now)).is_some_and(|span| span > timeout)
     }
 
-    /// The view of an account has changed.
+    /// Handles a changed row of an account: its owner, epoch or backup.
     pub(crate) fn on_account_row(&mut self, account: &AccountId) {
         let Some(row) = self.directory.account(account).cloned() else {
             return;
         };
-        let (now, me) = (self.now, self.config.node.clone());
+        let (now, own_node) = (self.now, self.config.node.clone());
         if let Some(owned) = self.owned.get_mut(account) {
-            match owned.on_view(now, &me, &row) {
-                ViewChange::OwnershipLost => self.on_ousted(account),
+            match owned.on_view(now, &own_node, &row) {
+                ViewChange::OwnershipLost => self.on_ownership_lost(account),
                 ViewChange::StillOwner => {
                     self.backup_search.requested_at.remove(account);
                 }
@@ -62,10 +64,10 @@
             }
             return;
         }
-        if row.owner == me {
+        if row.owner == own_node {
             self.take_ownership(account, &row);
         } else if self.mirrors.get(account).is_some_and(|held| held.owner != row.owner) {
-            // The former owner's copy is of no use to the new owner.
+            // The new owner sends its own copy, so the former owner's is discarded.
             self.mirrors.remove(account);
         }
     }
@@ -75,25 +77,27 @@
         if row.state == AccountState::Active && *account == self.main {
             let fresh = OwnedAccount::new(account.clone(), row, Default::default(), 0, now);
             self.owned.insert(account.clone(), fresh);
-            self.take_in_issues(account);
+            self.apply_issue_rows(account);
             return;
         }
         let Some(mirror) = self.mirrors.remove(account) else {
-            self.warn(format!("account {account} was given to this router, which has no copy"));
+            self.warn(format!(
+                "account {account} was assigned to this router, which holds no copy"
+            ));
             return;
         };
         let adopted = OwnedAccount::new(account.clone(), row, mirror.state, mirror.sequence, now);
         self.owned.insert(account.clone(), adopted);
-        self.take_in_issues(account);
+        self.apply_issue_rows(account);
         self.resend_all_transfers(account);
         self.start_retention(account);
-        // What a backup holds was recorded by the former owner; nobody else has another copy.
+        // No other copy exists, so every bill in the adopted state counts as mirrored.
         let up_to = self.owned[account].state().last_bill();
         self.mark_bills_mirrored(account, up_to);
     }
 
-    /// Rows that came before the ownership was known are looked at again.
-    fn take_in_issues(&mut self, account: &AccountId) {
+    /// Applies the issue rows again that arrived before this router knew that it owns `account`.
+    fn apply_issue_rows(&mut self, account: &AccountId) {
         let budgets: Vec<BudgetName> = self
             .directory
             .table
@@ -112,7 +116,7 @@
         }
     }
 
-    fn on_ousted(&mut self, account: &AccountId) {
+    fn on_ownership_lost(&mut self, account: &AccountId) {
         self.owned.remove(account);
         self.deferred_actions.remove(account);
         self.timers.bill_deliveries.remove(account);
@@ -127,8 +131,8 @@
         self.fence();
     }
 
-    /// Another node owns the main account. Nothing that waits for a backup will ever be released,
-    /// so every caller is told what is known and the life ends.
+    /// Another node owns the main account. Actions deferred until the backup acknowledges would
+    /// never run, so every call is refused with its known outcome and the incarnation ends.
     fn fence(&mut self) {
         let calls: Vec<CallId> = self.calls.keys().copied().collect();
         for id in calls {
@@ -149,7 +153,7 @@
         if self.owned.contains_key(&account) {
             return;
         }
-        // A former owner gets no acknowledgement once its successor is known here.
+        // A former owner gets no acknowledgement once this router knows its successor.
         if let Some(row) = self.directory.account(&account)
             && row.owner != from
             && row.epoch >= message.epoch()
@@ -186,14 +190,14 @@
         let accounts: Vec<AccountId> =
             self.owned.keys().filter(|id| id.kind == AccountKind::Mirrored).cloned().collect();
         for account in accounts {
-            self.look_after_backup(&account);
+            self.maintain_backup(&account);
             self.request_backup(&account);
         }
     }
 
-    /// Starts copying the account to another node if the backup is missing, silent, or in another
-    /// zone while this zone has one to offer.
-    fn look_after_backup(&mut self, account: &AccountId) {
+    /// Starts copying the account to another node if the backup is missing, has timed out, or is in
+    /// another zone while a node of this zone is available.
+    fn maintain_backup(&mut self, account: &AccountId) {
         let now = self.now;
         let Some(owned) = self.owned.get(account) else {
             return;
@@ -201,7 +205,7 @@
         if let Some(candidate) = owned.candidate().cloned() {
             let silent = owned.candidate_silence(now).is_some_and(|s| s > CANDIDATE_TIMEOUT);
             if silent {
-                self.backup_search.avoided_until.insert(candidate, now + AVOID_FOR);
+                self.backup_search.avoided_until.insert(candidate, now + AVOIDANCE_PERIOD);
                 if let Some(owned) = self.owned.get_mut(account) {
                     owned.drop_candidate();
                 }
@@ -213,17 +217,19 @@
         let Some((node, same_zone)) = self.best_backup(current.as_ref()) else {
             return;
         };
-        let current_is_far =
+        let current_in_other_zone =
             current.as_ref().is_some_and(|node| !self.is_in_own_zone(node)) && same_zone;
-        // A backup beyond the zone is lost in a cut, so one inside it is always tried.
-        if (silent || current_is_far)
+        // A partition between zones cuts off a backup in another zone, so one in this zone is
+        // always preferred.
+        if (silent || current_in_other_zone)
             && let Some(owned) = self.owned.get_mut(account)
         {
             owned.start_candidate(now, node);
         }
     }
 
-    /// The best other router life: of this zone if possible, then by rendezvous ranking.
+    /// The best node for a backup, on another machine: in this zone if possible, then by
+    /// rendezvous ranking. The flag says whether it is in this zone.
     fn best_backup(&self, except: Option<&NodeId>) -> Option<(NodeId, bool)> {
         let now = self.now;
         let own_name = self.config.node.to_string();
@@ -244,14 +250,14 @@
         self.directory.account(&account).is_some_and(|row| row.zone == self.config.zone)
     }
 
-    /// Asks the control plane to make the candidate the backup once it holds a whole copy.
+    /// Asks the control plane to make the candidate the backup once it holds a complete copy.
     fn request_backup(&mut self, account: &AccountId) {
         let now = self.now;
         let due = self
             .backup_search
             .requested_at
             .get(account)
-            .is_none_or(|asked| now.since(*asked) >= REQUEST_INTERVAL);
+            .is_none_or(|requested_at| now.since(*requested_at) >= BACKUP_REQUEST_INTERVAL);
         if !due {
             return;
         }
@@ -267,12 +273,12 @@
         self.send_to_control(&message);
     }
 
-    /// Empties accounts that were taken over into the own one.
+    /// Transfers the unreserved rights of adopted accounts to the main account.
     pub(crate) fn tick_adopted(&mut self) {
         if !self.has_backup() {
             return;
         }
-        let mut moves = Vec::new();
+        let mut transfers = Vec::new();
         for (id, owned) in &self.owned {
             if *id == self.main || *id == self.solo {
                 continue;
@@ -280,12 +286,12 @@
             for (budget, holding) in owned.state().holdings() {
                 let free = holding.available() - self.rights.reserved_locally(id, budget);
                 if !free.is_zero() {
-                    moves.push((id.clone(), budget.clone(), free));
+                    transfers.push((id.clone(), budget.clone(), free));
                 }
             }
         }
         let main = self.main.clone();
-        for (from, budget, amount) in moves {
+        for (from, budget, amount) in transfers {
             self.transfer_rights(&from, &main, &budget, amount);
         }
     }
--- a/crates/router-core/src/admission.rs
+++ b/crates/router-core/src/admission.rs
@@ -1,4 +1,4 @@
-//! Who asks, for what, and what it may cost.
+//! Admission: authenticates the tenant, finds the service and computes the maximum cost.
 
 use crate::call::*;
 use crate::effect::Effect;
@@ -8,10 +8,10 @@
 use stackpost_table::{ServiceKind, ServiceRow};
 use stackpost_types::*;
 
-/// When a router that is not ready, or stopping, suggests to ask again.
-const RETRY_SOON: Millis = Millis(1_000);
+/// `retry_after` of refusals by a router that is not ready or is draining.
+const RETRY_AFTER_NOT_READY: Millis = Millis(1_000);
 
-/// What admission found out about a request.
+/// Tenant, service and maximum cost of an admitted request.
 struct Admitted {
     tenant: TenantName,
     tenant_weight: u32,
@@ -26,7 +26,7 @@
     pub(crate) fn on_call(&mut self, call: Call) {
         let id = call.id;
         match self.admit(&call) {
-            Ok(admitted) => self.enter(call, admitted),
+            Ok(admitted) => self.accept_call(call, admitted),
             Err(mut refusal) => {
                 // An earlier request under the same key may have run at another router.
                 if call.idempotency_key.is_some() && refusal.reason.is_transient() {
@@ -41,17 +41,17 @@
     fn admit(&self, call: &Call) -> Result<Admitted, Refusal> {
         if self.draining.is_some() {
             let refusal = Refusal::not_run(RefusalReason::Draining, "this router is stopping");
-            return Err(refusal.retry_after(RETRY_SOON));
+            return Err(refusal.retry_after(RETRY_AFTER_NOT_READY));
         }
         if !self.directory.confirmed {
             let refusal = Refusal::not_run(RefusalReason::NotReady, "no configuration yet");
-            return Err(refusal.retry_after(RETRY_SOON));
+            return Err(refusal.retry_after(RETRY_AFTER_NOT_READY));
         }
         if !self.platform_list_ready() {
             let refusal = Refusal::not_run(RefusalReason::NotReady, "no machine list yet");
-            return Err(refusal.retry_after(RETRY_SOON));
+            return Err(refusal.retry_after(RETRY_AFTER_NOT_READY));
         }
-        if self.call_of_request.contains_key(&call.request) {
+        if self.call_by_request.contains_key(&call.request) {
             let detail = format!("request {} is being worked on", call.request);
             return Err(Refusal::not_run(RefusalReason::RequestIdInUse, detail));
         }
@@ -92,14 +92,14 @@
             Some(0) => {
                 return Err(Refusal::not_run(RefusalReason::MaxTokensInvalid, "max_tokens is 0"));
             }
-            Some(asked) if asked > limit => {
-                let detail = format!("max_tokens is {asked}; service {name} allows {limit}");
+            Some(requested) if requested > limit => {
+                let detail = format!("max_tokens is {requested}; service {name} allows {limit}");
                 return Err(Refusal::not_run(RefusalReason::MaxTokensTooLarge, detail));
             }
             _ => {}
         }
-        let most = max_tokens.unwrap_or(limit);
-        Ok((name.clone(), Tokens(prompt_tokens.saturating_add(most)), true))
+        let max_generated = max_tokens.unwrap_or(limit);
+        Ok((name.clone(), Tokens(prompt_tokens.saturating_add(max_generated)), true))
     }
 
     fn admit_plain(
@@ -113,10 +113,10 @@
         Ok((route.service.clone(), route.cost, route.repeatable))
     }
 
-    fn enter(&mut self, call: Call, admitted: Admitted) {
+    fn accept_call(&mut self, call: Call, admitted: Admitted) {
         let id = call.id;
         let request = call.request;
-        let key = self.key_use(&call, &admitted.tenant, &admitted.home_zone);
+        let key = self.request_key(&call, &admitted.tenant, &admitted.home_zone);
         self.trace_step(
             request,
             TraceStep::Admitted {
@@ -127,7 +127,7 @@
             },
         );
         let stage = match &key {
-            Some(_) => Stage::Claiming { asked_at: Timestamp(0), replaces: None },
+            Some(_) => Stage::Claiming { requested_at: Timestamp(0), replaces: None },
             None => Stage::AwaitingRights,
         };
         let state = CallState {
@@ -142,27 +142,27 @@
             account: self.main.clone(),
             reserved: false,
             stage,
-            stage_since: self.now,
+            stage_entered_at: self.now,
             attempts: 0,
             tried: Vec::new(),
             caller_gone: false,
-            open: false,
+            response_started: false,
             earlier_attempt_sent: false,
             key_granted: false,
             answer: None,
         };
         let keyed = state.is_keyed();
         self.calls.insert(id, state);
-        self.call_of_request.insert(request, id);
-        if keyed { self.ask_for_key(id) } else { self.request_rights(id) }
+        self.call_by_request.insert(request, id);
+        if keyed { self.send_key_claim(id) } else { self.request_rights(id) }
     }
 
-    /// A key that begins with a zone's name and a colon is kept in that zone, others in the
-    /// tenant's home zone.
-    fn key_use(&self, call: &Call, tenant: &TenantName, home: &ZoneName) -> Option<RequestKey> {
+    /// The call's idempotency key and the zone that stores it: the zone named before a colon in the
+    /// key, otherwise the tenant's home zone.
+    fn request_key(&self, call: &Call, tenant: &TenantName, home: &ZoneName) -> Option<RequestKey> {
         let key = call.idempotency_key.as_ref()?;
-        let named = key.split_once(':').map(|(zone, _)| ZoneName::new(zone));
-        let zone = named.filter(|zone| self.directory.has_zone(zone)).unwrap_or(home.clone());
+        let prefix_zone = key.split_once(':').map(|(zone, _)| ZoneName::new(zone));
+        let zone = prefix_zone.filter(|zone| self.directory.has_zone(zone)).unwrap_or(home.clone());
         let digest = Digest::of(&[tenant.as_str().as_bytes(), key.as_bytes()]);
         Some(RequestKey { digest, zone })
     }
@@ -172,7 +172,7 @@
         self.directory.service(&call.service)
     }
 
-    /// Most tokens that the back end is told it may generate.
+    /// Maximum number of tokens that the back end may generate, as sent to it.
     pub(crate) fn generation_limit(&self, call: &CallState) -> Option<u64> {
         let row = self.service_row(call)?;
         match (&call.call.target, row.kind) {
@@ -183,7 +183,7 @@
         }
     }
 
-    /// Gives a call its final refusal and frees what it held.
+    /// Sends a call its final refusal and releases its reservation.
     pub(crate) fn refuse(&mut self, id: CallId, mut refusal: Refusal) {
         if self.calls.get(&id).is_some_and(CallState::may_have_run) {
             refusal.outcome = ExecutionOutcome::Unknown;
--- a/crates/router-core/src/call.rs
+++ b/crates/router-core/src/call.rs
@@ -1,24 +1,24 @@
-//! A caller's request, as it arrives and as it is worked on.
+//! A caller's request, as received and while it is processed.
 
 use serde::{Deserialize, Serialize};
 use stackpost_balance::BlockHash;
 use stackpost_ledger::{KeyDigest, StoredAnswer};
 use stackpost_types::*;
 
-/// Names a caller's connection to a request within one router process.
+/// Identifies a caller's request within one router process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CallId(pub u64);
 
-/// What a caller asks for.
+/// What a caller requests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Target {
     /// A chat completion.
     Chat {
-        /// The model named.
+        /// Name of the model.
         model: ModelName,
         /// Upper bound of the prompt's length in tokens.
         prompt_tokens: u64,
-        /// Most tokens to generate, if the caller said so.
+        /// Maximum number of tokens to generate, if the caller set one.
         max_tokens: Option<u64>,
         /// Hashes of the prompt's blocks.
         blocks: Vec<BlockHash>,
@@ -32,48 +32,49 @@
     },
 }
 
-/// A request as it arrives.
+/// A request as received from a caller.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Call {
-    /// The caller's connection.
+    /// Identifies the request within this process.
     pub id: CallId,
-    /// Name of the request across routers.
+    /// Identifies the request across routers.
     pub request: RequestId,
     /// Hash of the bearer key, if one was sent.
     pub key_hash: Option<KeyHash>,
-    /// What is asked for.
+    /// The requested model or route.
     pub target: Target,
-    /// The `Idempotency-Key`.
+    /// Value of the `Idempotency-Key` header.
     pub idempotency_key: Option<String>,
-    /// The caller says that the request must not run twice.
+    /// Set if the request must not run twice, whatever its route allows.
     pub not_repeatable: bool,
     /// Digest of method, path and body.
     pub fingerprint: Digest,
-    /// Higher goes first within a tenant.
+    /// Requests of higher priority go first within a tenant.
     pub priority: i32,
 }
 
-/// A request's idempotency key and who keeps it.
+/// A request's idempotency key and the zone that stores it.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct RequestKey {
     pub digest: KeyDigest,
     pub zone: ZoneName,
 }
 
-/// Where a request stands.
+/// Processing stage of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Stage {
-    /// Waits for the keeper of its key.
-    Claiming { asked_at: Timestamp, replaces: Option<RequestId> },
-    /// Another request has the key; its answer is asked for.
-    Fetching { account: AccountId, request: RequestId, asked_at: Timestamp },
-    /// Waits for rights.
+    /// Waits for the key's keeper to grant the key; `replaces` is an earlier request under the
+    /// key that did not complete.
+    Claiming { requested_at: Timestamp, replaces: Option<RequestId> },
+    /// Another request holds the key; its stored answer is being fetched.
+    Fetching { account: AccountId, request: RequestId, requested_at: Timestamp },
+    /// Waits until the rights to its maximum cost can be reserved.
     AwaitingRights,
     /// Waits for a back end.
     Queued,
-    /// Sent, or about to be once the intent stands on the backup.
+    /// Sent to a back end, or waiting for the backup to acknowledge the intent before that.
     Running(Attempt),
-    /// Settled; waits until the bill stands on the backup.
+    /// Settled; waits until the backup acknowledges the bill.
     Settling { since: Timestamp },
 }
 
@@ -82,11 +83,11 @@
 pub(crate) struct Attempt {
     pub number: u32,
     pub back_end: BackEndName,
-    /// Whether the process was told to send it.
+    /// Whether the process was instructed to send it.
     pub dispatched: bool,
 }
 
-/// A request that is being worked on.
+/// State of a request in process.
 #[derive(Clone, Debug)]
 pub(crate) struct CallState {
     pub call: Call,
@@ -97,23 +98,23 @@
     pub bound: Tokens,
     pub repeatable: bool,
     pub key: Option<RequestKey>,
-    /// The account that pays.
+    /// The account that is charged.
     pub account: AccountId,
     /// Whether `bound` is reserved locally, with no intent recorded yet.
     pub reserved: bool,
     pub stage: Stage,
-    pub stage_since: Timestamp,
+    pub stage_entered_at: Timestamp,
     pub attempts: u32,
     pub tried: Vec<BackEndName>,
     pub caller_gone: bool,
-    /// Whether bytes may flow to the caller.
-    pub open: bool,
+    /// Whether bytes of the response may be sent to the caller.
+    pub response_started: bool,
     /// Whether an earlier attempt, here or under the same key elsewhere, may have run.
     pub earlier_attempt_sent: bool,
-    /// Whether the keeper has granted the key. Until then an earlier request under the same key
-    /// may have run.
+    /// Whether the key's keeper has granted the key. Until then an earlier request under the same
+    /// key may have run.
     pub key_granted: bool,
-    /// A back end's error answer that is passed on as it is.
+    /// A back end's error response, forwarded unchanged.
     pub answer: Option<StoredAnswer>,
 }
 
@@ -122,8 +123,8 @@
         self.key.is_some()
     }
 
-    /// Whether whoever takes the account over has to take the request for run, since its intent is
-    /// recorded, although nothing may have been sent.
+    /// Whether a node that takes the account over must assume that the request has run: its intent
+    /// is recorded, even if nothing was sent yet.
     pub fn counts_as_run(&self) -> bool {
         self.may_have_run() || matches!(self.stage, Stage::Running(_))
     }
--- a/crates/router-core/src/control_link.rs
+++ b/crates/router-core/src/control_link.rs
@@ -1,4 +1,4 @@
-//! Signs of life to the control replicas.
+//! Heartbeats to the control replicas.
 
 use crate::bills::BillDelivery;
 use crate::router::Router;
@@ -9,26 +9,26 @@
 /// Time between two heartbeats.
 const HEARTBEAT_INTERVAL: Millis = Millis(500);
 
-/// When things were last sent to the control replicas.
+/// Timers of heartbeats and bill deliveries to the control replicas.
 #[derive(Debug, Default)]
 pub(crate) struct Timers {
-    heartbeat_at: Timestamp,
+    next_heartbeat_at: Timestamp,
     pub bill_deliveries: BTreeMap<AccountId, BillDelivery>,
 }
 
 impl Timers {
-    /// Makes the next tick report the version in force.
+    /// Makes the next tick send a heartbeat, which reports the configuration version in force.
     pub fn report_version_now(&mut self) {
-        self.heartbeat_at = Timestamp(0);
+        self.next_heartbeat_at = Timestamp(0);
     }
 }
 
 impl Router {
     pub(crate) fn tick_control_link(&mut self) {
-        if self.now < self.timers.heartbeat_at {
+        if self.now < self.timers.next_heartbeat_at {
             return;
         }
-        self.timers.heartbeat_at = self.now + HEARTBEAT_INTERVAL;
+        self.timers.next_heartbeat_at = self.now + HEARTBEAT_INTERVAL;
         let heartbeat = Heartbeat {
             zone: self.config.zone.clone(),
             version: if self.directory.confirmed { self.version() } else { Version(0) },
--- a/crates/router-core/src/deferred.rs
+++ b/crates/router-core/src/deferred.rs
@@ -1,4 +1,4 @@
-//! Effects that wait until a change of an account stands on its backup.
+//! Actions deferred until an account's backup has acknowledged a change.
 
 use crate::call::{CallId, Stage};
 use crate::effect::Effect;
@@ -7,31 +7,32 @@
 use stackpost_protocol::{Message, Transfer, TransferAck};
 use stackpost_types::*;
 
-/// An effect that waits.
+/// An action that runs once the backup has acknowledged the change it depends on.
 #[derive(Clone, Debug)]
 pub(crate) enum DeferredAction {
-    /// A non-repeatable request may be sent.
+    /// Send a non-idempotent request: call and number of the attempt.
     Dispatch(CallId, u32),
-    /// Bytes of the answer may flow.
+    /// Start the response to the caller: call and number of the attempt.
     StartResponse(CallId, u32),
-    /// The answer's end may go out.
+    /// Send the end of the response.
     Finish(CallId, Tokens),
-    /// Rights may be handed over.
+    /// Send a transfer of rights to the receiving account.
     Transfer { from: AccountId, to: AccountId, budget: BudgetName },
-    /// Rights received are safe; the giver may forget them.
+    /// Acknowledge received rights; the sender then stops resending the transfer.
     TransferAck { to: NodeId, ack: TransferAck },
-    /// Rights given back may be reported to the control plane.
+    /// Report returned rights to the control plane.
     Return { account: AccountId, budget: BudgetName },
-    /// Bills up to this one may be archived.
+    /// Allow archiving of the bills up to this one.
     Bill { account: AccountId, up_to: u64 },
-    /// A message may go out.
+    /// Send a message.
     Reply { to: NodeId, message: Message },
-    /// A refusal may be given, since what precedes it is recorded.
+    /// Refuse a call; what the refusal depends on is recorded.
     Refuse(CallId, crate::refusal::Refusal),
 }
 
 impl Router {
-    /// Makes a change of an account owned here.
+    /// Appends a change to an account owned by this router; returns its sequence number, or 0 if
+    /// the account is not owned here.
     pub(crate) fn record(&mut self, account: &AccountId, record: Record) -> u64 {
         match self.owned.get_mut(account) {
             Some(owned) => owned.append(record),
@@ -39,7 +40,7 @@
         }
     }
 
-    /// Makes a change and lets `action` go ahead once the change stands on the backup.
+    /// Records a change and runs `action` once the backup has acknowledged it.
     pub(crate) fn record_and_defer(
         &mut self,
         account: &AccountId,
@@ -50,8 +51,8 @@
         self.defer(account, sequence, action);
     }
 
-    /// Records a bill; it may be archived, and `action` go ahead, once it stands on the backup.
-    /// Archived earlier, it could come to stand beside the bill of another run of the request.
+    /// Records a bill; once the backup has acknowledged it, it may be archived and `action` runs.
+    /// If it were archived earlier, a takeover could run and bill the same request a second time.
     pub(crate) fn record_bill(
         &mut self,
         account: &AccountId,
@@ -71,7 +72,7 @@
         self.deferred_actions.entry(account.clone()).or_default().push_back((sequence, action));
     }
 
-    /// Lets everything go ahead whose change stands on the backup.
+    /// Runs the actions whose change the backup has acknowledged.
     pub(crate) fn run_deferred_actions(&mut self) {
         loop {
             let mut ready = Vec::new();
@@ -102,7 +103,7 @@
     fn run_deferred_action(&mut self, action: DeferredAction) {
         match action {
             DeferredAction::Dispatch(call, number) => self.dispatch_now(call, number),
-            DeferredAction::StartResponse(call, number) => self.open(call, number),
+            DeferredAction::StartResponse(call, number) => self.start_response(call, number),
             DeferredAction::Finish(call, billed) => self.finish(call, billed),
             DeferredAction::Transfer { from, to, budget } => {
                 self.send_transfer(&from, &to, &budget)
@@ -115,7 +116,7 @@
         }
     }
 
-    fn open(&mut self, id: CallId, number: u32) {
+    fn start_response(&mut self, id: CallId, number: u32) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
@@ -124,13 +125,13 @@
             Stage::Settling { .. } => true,
             _ => false,
         };
-        if current && !call.open {
-            call.open = true;
+        if current && !call.response_started {
+            call.response_started = true;
             self.effects.push(Effect::StartResponse(id));
         }
     }
 
-    /// Sends the newest total from `from` to `to`.
+    /// Sends the newest cumulative total of rights transferred from `from` to `to`.
     pub(crate) fn send_transfer(&mut self, from: &AccountId, to: &AccountId, budget: &BudgetName) {
         let Some(total) = self.total_sent(from, to, budget) else {
             return;
--- a/crates/router-core/src/directory.rs
+++ b/crates/router-core/src/directory.rs
@@ -1,10 +1,10 @@
-//! The router's copy of the table, with the look-ups a request needs.
+//! The router's copy of the configuration table, with the lookups that requests need.
 
 use stackpost_table::*;
 use stackpost_types::*;
 use std::collections::BTreeMap;
 
-/// A tenant and its name.
+/// A tenant's name and row.
 pub(crate) struct TenantEntry<'a> {
     pub name: &'a TenantName,
     pub row: &'a TenantRow,
@@ -14,8 +14,8 @@
 #[derive(Debug, Default)]
 pub(crate) struct Directory {
     pub table: Table,
-    /// Whether a majority of control replicas has confirmed that the first version taken in was
-    /// not older than one this machine may have had before.
+    /// Whether a majority of control replicas has confirmed that the first version applied is not
+    /// older than one that this machine may have had before.
     pub confirmed: bool,
     service_by_model: BTreeMap<ModelName, ServiceName>,
     routes: Vec<(RouteName, RouteRow)>,
@@ -23,17 +23,17 @@
 }
 
 impl Directory {
-    /// Takes in a delta; returns the changed keys if it was newer.
+    /// Applies a delta; returns the changed keys if it was newer.
     pub fn apply(&mut self, confirmed: bool, delta: &Delta) -> Option<Vec<RowKey>> {
         if !self.confirmed && !confirmed {
             return None;
         }
         let changed = self.table.apply(delta)?;
         self.confirmed = true;
-        let indexed =
+        let is_indexed =
             |key: &RowKey| matches!(key, RowKey::Service(_) | RowKey::Route(_) | RowKey::Policy);
-        if changed.iter().any(indexed) {
-            self.rebuild();
+        if changed.iter().any(is_indexed) {
+            self.rebuild_indexes();
         }
         Some(changed)
     }
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Who may change the account `id`, unless it is lost.
+    /// The owner of the account `id`, unless the account is lost.
     pub fn owner(&self, id: &AccountId) -> Option<&NodeId> {
         let row = self.account(id)?;
         (row.state != AccountState::Lost).then_some(&row.owner)
@@ -121,7 +121,7 @@
         self.table.rows().filter(|(key, _)| matches!(key, RowKey::Zone(_))).count() as u64
     }
 
-    /// The account that keeps the keys of `slot` in `zone`, and whether older keys are forgotten.
+    /// The account that stores the keys of `slot` in `zone`, and whether earlier keys were lost.
     pub fn key_slot(&self, zone: &ZoneName, slot: usize) -> Option<(&AccountId, bool)> {
         match self.table.get(&RowKey::KeySlots(zone.clone())) {
             Some(Row::KeySlots(row)) => Some((row.accounts.get(slot)?, *row.forgotten.get(slot)?)),
@@ -129,7 +129,7 @@
         }
     }
 
-    fn rebuild(&mut self) {
+    fn rebuild_indexes(&mut self) {
         self.service_by_model.clear();
         self.routes.clear();
         self.policy = PolicyRow::default();
--- a/crates/router-core/src/dispatch.rs
+++ b/crates/router-core/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Queueing, the choice of a back end, and attempts.
+//! Queueing, the choice of a back end, attempts and retries.
 
 use crate::call::{Attempt, CallId, CallState, Stage, Target};
 use crate::deferred::DeferredAction;
@@ -12,17 +12,17 @@
 use stackpost_table::{BackEndState, Row, RowKey};
 use stackpost_types::*;
 
-/// Attempts at one request, the first included.
+/// Maximum number of attempts at one request, the first included.
 const MAX_ATTEMPTS: u32 = 3;
-/// When a caller may ask again after a full queue.
+/// `retry_after` of refusals because of a full queue or a queue timeout.
 const RETRY_AFTER_BUSY: Millis = Millis(1_000);
-/// When a caller may ask again after a failed back end.
+/// `retry_after` of refusals because of failed or unavailable back ends.
 const RETRY_AFTER_FAILURE: Millis = Millis(2_000);
-/// Statuses by which a back end says that it did not take the work on.
-const TURNED_AWAY: [u16; 2] = [429, 503];
+/// Statuses of responses by which a back end rejects a request without running it.
+const REJECTION_STATUSES: [u16; 2] = [429, 503];
 
 impl Router {
-    /// Puts a call with reserved rights in line for a back end.
+    /// Starts a call with reserved rights, or queues it if no back end is free.
     pub(crate) fn enqueue(&mut self, id: CallId) {
         let Some(call) = self.calls.get(&id) else {
             return;
@@ -37,8 +37,8 @@
         let (tenant, weight) = (call.tenant.clone(), call.tenant_weight);
         let priority = call.call.priority;
         self.set_stage(id, Stage::Queued);
-        let nobody_waits = self.queues.get(&service).is_none_or(FairQueue::is_empty);
-        if nobody_waits && self.try_start(id) {
+        let queue_is_empty = self.queues.get(&service).is_none_or(FairQueue::is_empty);
+        if queue_is_empty && self.try_start(id) {
             return;
         }
         if !self.calls.contains_key(&id) {
@@ -46,16 +46,16 @@
         }
         let queue = self.queues.entry(service).or_default();
         match queue.push(&tenant, weight, priority, id, limit) {
-            PushOutcome::Queued => self.note_waiting(id),
+            PushOutcome::Queued => self.trace_waiting(id),
             PushOutcome::Refused(refused) => self.refuse_queue_full(refused),
             PushOutcome::Evicted(evicted) => {
-                self.note_waiting(id);
+                self.trace_waiting(id);
                 self.refuse_queue_full(evicted);
             }
         }
     }
 
-    fn note_waiting(&mut self, id: CallId) {
+    fn trace_waiting(&mut self, id: CallId) {
         let reason = "every back end has as many requests as allowed".to_string();
         self.trace_call_step(id, TraceStep::Waiting { reason });
     }
@@ -65,7 +65,7 @@
         self.withdraw_and_refuse(id, refusal.retry_after(RETRY_AFTER_BUSY));
     }
 
-    /// Starts waiting calls as far as back ends are free.
+    /// Starts queued calls while back ends have free capacity.
     pub(crate) fn serve_queues(&mut self) {
         let services: Vec<ServiceName> = self
             .queues
@@ -76,7 +76,7 @@
         for service in services {
             loop {
                 let mut queue = self.queues.remove(&service).unwrap_or_default();
-                let next = queue.pop_if(|id| self.could_start(*id));
+                let next = queue.pop_if(|id| self.can_start(*id));
                 self.queues.insert(service.clone(), queue);
                 match next {
                     Some(id) => {
@@ -88,8 +88,8 @@
         }
     }
 
-    /// Whether a queued call has somewhere to go, or has to be refused now.
-    fn could_start(&self, id: CallId) -> bool {
+    /// Whether a queued call can be sent to a back end, or has to be refused now.
+    fn can_start(&self, id: CallId) -> bool {
         self.calls.get(&id).is_none_or(|call| self.choose(call) != Choice::AllBusy)
     }
 
@@ -110,7 +110,8 @@
         self.balancer.choose(self.now, &query)
     }
 
-    /// Starts a call if a back end is free. Returns whether it is off the queue's hands.
+    /// Starts a call if a back end is free, or refuses it if none is available. Returns `false` if
+    /// it has to stay queued.
     fn try_start(&mut self, id: CallId) -> bool {
         let Some(call) = self.calls.get(&id) else {
             return true;
@@ -152,7 +153,7 @@
         let number = call.attempts;
         call.stage =
             Stage::Running(Attempt { number, back_end: back_end.clone(), dispatched: false });
-        call.stage_since = now;
+        call.stage_entered_at = now;
         let account = call.account.clone();
         let intent = Intent {
             budget: call.budget.clone(),
@@ -164,12 +165,12 @@
         };
         let (request, repeatable) = (call.call.request, call.repeatable);
         if let Target::Chat { blocks, .. } = &call.call.target
-            && let Some(known) = self.balancer.get_mut(&back_end)
+            && let Some(state) = self.balancer.get_mut(&back_end)
         {
-            known.cache.assume_cached(blocks);
+            state.cache.assume_cached(blocks);
         }
-        if let Some(known) = self.balancer.get_mut(&back_end) {
-            known.on_dispatch(now);
+        if let Some(state) = self.balancer.get_mut(&back_end) {
+            state.on_dispatch(now);
         }
         if number == 1 {
             self.retries.deposit(self.directory.policy().retry_permille);
@@ -177,12 +178,12 @@
         let sequence = self.record(&account, Record::Intent { request, intent });
         self.move_reservation_to_intent(id);
         if repeatable {
-            // The intent travels beside the request; no byte of the answer reaches the caller
-            // before the backup holds it.
+            // The intent is mirrored in parallel with the request; no byte of the response reaches
+            // the caller before the backup has acknowledged the intent.
             self.dispatch_now(id, number);
         } else {
-            // Must stand on the backup before anything is sent: whoever takes over has to know
-            // that the request may have run.
+            // The backup has to acknowledge the intent before anything is sent: a node that takes
+            // the account over has to know that the request may have run.
             self.defer(&account, sequence, DeferredAction::Dispatch(id, number));
         }
         self.defer(&account, sequence, DeferredAction::StartResponse(id, number));
@@ -201,7 +202,7 @@
         attempt.dispatched = true;
         let back_end = attempt.back_end.clone();
         let (request, keep_answer) = (call.call.request, call.is_keyed());
-        let Some(address) = self.balancer.get(&back_end).map(|known| known.row.address) else {
+        let Some(address) = self.balancer.get(&back_end).map(|state| state.row.address) else {
             let reason = format!("{back_end} left the table");
             self.on_attempt(id, number, AttemptOutcome::NotSent { reason });
             return;
@@ -230,8 +231,8 @@
             return;
         }
         let back_end = attempt.back_end.clone();
-        if let Some(known) = self.balancer.get_mut(&back_end) {
-            known.on_end();
+        if let Some(state) = self.balancer.get_mut(&back_end) {
+            state.on_end();
         }
         match outcome {
             AttemptOutcome::NotSent { reason } => {
@@ -244,12 +245,12 @@
             }
             AttemptOutcome::Incomplete { reason, counted, delivered } => {
                 self.on_back_end_failure(&back_end);
-                self.on_broken(id, back_end, reason, counted, delivered);
+                self.on_interrupted(id, back_end, reason, counted, delivered);
             }
             AttemptOutcome::Answered { reported, counted, answer, rest } => {
                 self.on_backoff(id, &back_end, rest);
-                if let Some(known) = self.balancer.get_mut(&back_end) {
-                    known.on_success();
+                if let Some(state) = self.balancer.get_mut(&back_end) {
+                    state.on_success();
                 }
                 self.settle_answered(id, reported, counted, answer);
             }
@@ -257,23 +258,27 @@
         }
     }
 
-    /// A back end wants no request of this router for a while. Known of one attempt only, the next one would break it.
-    fn on_backoff(&mut self, id: CallId, back_end: &BackEndName, rest: Option<Millis>) {
+    /// Applies a backoff that a back end asked for. It holds for all requests of this router; if it
+    /// held for this attempt only, the next request would violate it.
+    fn on_backoff(&mut self, id: CallId, back_end: &BackEndName, backoff: Option<Millis>) {
         let now = self.now;
-        if let (Some(rest), Some(known)) = (rest, self.balancer.get_mut(back_end)) {
-            known.on_backoff(now, rest);
-            self.trace_call_step(id, TraceStep::RestAsked { back_end: back_end.clone(), rest });
+        if let (Some(backoff), Some(state)) = (backoff, self.balancer.get_mut(back_end)) {
+            state.on_backoff(now, backoff);
+            self.trace_call_step(
+                id,
+                TraceStep::BackoffRequested { back_end: back_end.clone(), backoff },
+            );
         }
     }
 
-    /// Nothing left this process: even a non-repeatable request may be tried elsewhere.
+    /// Nothing was sent, so even a non-idempotent request may be retried at another back end.
     fn on_not_sent(&mut self, id: CallId, back_end: BackEndName, reason: String) {
-        self.note_failure(id, &reason);
+        self.trace_failure(id, &reason);
         if let Some(CallState { stage: Stage::Running(attempt), .. }) = self.calls.get_mut(&id) {
             attempt.dispatched = false;
         }
         if self.may_retry(id) {
-            self.try_again(id, back_end);
+            self.retry_elsewhere(id, back_end);
             return;
         }
         let detail = format!("connect to {back_end}: {reason}");
@@ -288,16 +293,16 @@
         status: u16,
         answer: StoredAnswer,
     ) {
-        self.note_failure(id, &format!("status {status}"));
+        self.trace_failure(id, &format!("status {status}"));
         let repeatable = self.calls.get(&id).is_some_and(|call| call.repeatable);
-        if TURNED_AWAY.contains(&status) && repeatable && self.may_retry(id) {
-            self.try_again(id, back_end);
+        if REJECTION_STATUSES.contains(&status) && repeatable && self.may_retry(id) {
+            self.retry_elsewhere(id, back_end);
             return;
         }
         self.settle_rejected(id, answer);
     }
 
-    fn on_broken(
+    fn on_interrupted(
         &mut self,
         id: CallId,
         back_end: BackEndName,
@@ -305,22 +310,22 @@
         counted: Usage,
         delivered: bool,
     ) {
-        self.note_failure(id, &reason);
+        self.trace_failure(id, &reason);
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
         call.earlier_attempt_sent = true;
-        let may_repeat = call.repeatable || self.config.defects.retry_after_send;
-        let wanted = !call.caller_gone || call.is_keyed();
-        if may_repeat && !delivered && wanted && self.may_retry(id) {
-            self.try_again(id, back_end);
+        let retry_is_safe = call.repeatable || self.config.defects.retry_after_send;
+        let result_is_wanted = !call.caller_gone || call.is_keyed();
+        if retry_is_safe && !delivered && result_is_wanted && self.may_retry(id) {
+            self.retry_elsewhere(id, back_end);
             return;
         }
         let detail = format!("answer of {back_end}: {reason}");
         self.settle_incomplete(id, counted, detail);
     }
 
-    fn note_failure(&mut self, id: CallId, reason: &str) {
+    fn trace_failure(&mut self, id: CallId, reason: &str) {
         let number = self.calls.get(&id).map_or(0, |call| call.attempts);
         let reason = reason.to_string();
         self.trace_call_step(id, TraceStep::AttemptFailed { number, reason });
@@ -331,16 +336,16 @@
         attempts < MAX_ATTEMPTS && self.retries.try_withdraw()
     }
 
-    /// Another attempt, at another back end. The intent keeps the rights reserved.
-    fn try_again(&mut self, id: CallId, failed: BackEndName) {
+    /// Queues the call for an attempt at another back end. The intent keeps the rights reserved.
+    fn retry_elsewhere(&mut self, id: CallId, failed: BackEndName) {
         if let Some(call) = self.calls.get_mut(&id) {
             call.tried.push(failed);
         }
         self.enqueue(id);
     }
 
-    /// Refuses a call that has no attempt under way. An intent that was recorded for an earlier
-    /// attempt is withdrawn first.
+    /// Refuses a call that has no running attempt. The recorded intent of an earlier attempt is
+    /// released first.
     pub(crate) fn withdraw_and_refuse(&mut self, id: CallId, refusal: Refusal) {
         let Some(call) = self.calls.get(&id) else {
             return;
@@ -359,11 +364,11 @@
             );
             self.reserve_for_waiting(&budget);
         } else {
-            self.refuse_and_serve(id, refusal);
+            self.refuse_and_reserve(id, refusal);
         }
     }
 
-    fn refuse_and_serve(&mut self, id: CallId, refusal: Refusal) {
+    fn refuse_and_reserve(&mut self, id: CallId, refusal: Refusal) {
         let budget = self.calls.get(&id).map(|call| call.budget.clone());
         self.refuse(id, refusal);
         if let Some(budget) = budget {
@@ -379,28 +384,28 @@
             return;
         }
         call.caller_gone = true;
-        let keep = call.is_keyed() || !call.repeatable;
+        let must_complete = call.is_keyed() || !call.repeatable;
         let stage = call.stage.clone();
         self.trace_call_step(id, TraceStep::CallerGone);
         match stage {
             Stage::Running(attempt) if attempt.dispatched => {
-                if !keep {
+                if !must_complete {
                     self.effects.push(Effect::Cancel { call: id, number: attempt.number });
                 }
             }
             Stage::Running(attempt) => {
-                if let Some(known) = self.balancer.get_mut(&attempt.back_end) {
-                    known.on_end();
+                if let Some(state) = self.balancer.get_mut(&attempt.back_end) {
+                    state.on_end();
                 }
-                self.abandon(id);
+                self.drop_unsent_call(id);
             }
             Stage::Settling { .. } => {}
-            _ => self.abandon(id),
+            _ => self.drop_unsent_call(id),
         }
     }
 
-    /// Drops a call that was never sent and whose caller is gone.
-    fn abandon(&mut self, id: CallId) {
+    /// Drops a call that was not sent and whose caller has disconnected.
+    fn drop_unsent_call(&mut self, id: CallId) {
         let Some(call) = self.remove_call(id) else {
             return;
         };
@@ -417,7 +422,7 @@
         let overdue: Vec<CallId> = self
             .calls
             .iter()
-            .filter(|(_, call)| call.stage == Stage::Queued && self.queued_too_long(call))
+            .filter(|(_, call)| call.stage == Stage::Queued && self.queue_wait_exceeded(call))
             .map(|(id, _)| *id)
             .collect();
         for id in overdue {
@@ -434,15 +439,15 @@
         self.tick_settling();
     }
 
-    fn queued_too_long(&self, call: &CallState) -> bool {
+    fn queue_wait_exceeded(&self, call: &CallState) -> bool {
         let limit = self.service_row(call).map_or(0, |row| row.queue_wait_ms);
-        self.now.since(call.stage_since) > Millis(limit)
+        self.now.since(call.stage_entered_at) > Millis(limit)
     }
 
     pub(crate) fn on_back_end_failure(&mut self, name: &BackEndName) {
         let (now, policy) = (self.now, self.directory.policy().clone());
-        if let Some(known) = self.balancer.get_mut(name) {
-            known.on_failure(now, &policy);
+        if let Some(state) = self.balancer.get_mut(name) {
+            state.on_failure(now, &policy);
         }
     }
 
@@ -471,11 +476,12 @@
         }
     }
 
-    /// The list may have been read before the back end's row was known.
+    /// Applies the platform's entry for a back end. The list may have been read before the back
+    /// end's row was received.
     fn apply_platform(&mut self, name: &BackEndName) {
         let listed = self.platform.as_ref().and_then(|list| list.get(name)).copied();
-        if let (Some(leaving), Some(known)) = (listed, self.balancer.get_mut(name)) {
-            known.on_platform(leaving);
+        if let (Some(leaving), Some(state)) = (listed, self.balancer.get_mut(name)) {
+            state.on_platform(leaving);
         }
     }
 }
--- a/crates/router-core/src/drain.rs
+++ b/crates/router-core/src/drain.rs
@@ -1,4 +1,5 @@
-//! A planned stop: no new requests, all work finished, rights and bills handed over.
+//! Planned stop: the router takes no new requests, finishes the running ones, transfers its
+//! rights to another router and waits for its bills to be archived before it leaves.
 
 use crate::effect::Effect;
 use crate::refusal::{Refusal, RefusalReason};
@@ -6,10 +7,10 @@
 use stackpost_table::AccountState;
 use stackpost_types::*;
 
-/// Longest wait, after the last request, for rights and bills to be handed over.
-const HAND_OVER_TIMEOUT: Millis = Millis(5_000);
+/// Maximum wait, after the last request, for rights to be transferred and bills archived.
+const HANDOVER_TIMEOUT: Millis = Millis(5_000);
 
-/// How far a planned stop has got.
+/// Progress of a planned stop.
 #[derive(Debug)]
 pub(crate) struct Drain {
     started_at: Timestamp,
@@ -34,7 +35,7 @@
         }
     }
 
-    /// Whether the control plane is asked to give this router's accounts to their backups.
+    /// Whether heartbeats ask the control plane to give this router's accounts to their backups.
     pub(crate) fn is_leaving(&self) -> bool {
         self.draining.as_ref().is_some_and(|drain| drain.leaving)
     }
@@ -45,7 +46,7 @@
         if !self.calls.is_empty() && self.now.since(drain.started_at) < deadline {
             return;
         }
-        self.refuse_what_is_left();
+        self.refuse_remaining_calls();
         let handed_over = self.draining.as_ref().is_some_and(|drain| drain.handed_over);
         if !handed_over {
             self.hand_over_rights();
@@ -57,7 +58,7 @@
         };
         drain.handed_over = true;
         let idle_since = *drain.idle_since.get_or_insert(now);
-        let timed_out = now.since(idle_since) > HAND_OVER_TIMEOUT;
+        let timed_out = now.since(idle_since) > HANDOVER_TIMEOUT;
         if settled || timed_out {
             drain.leaving = true;
         }
@@ -66,7 +67,7 @@
         }
     }
 
-    fn refuse_what_is_left(&mut self) {
+    fn refuse_remaining_calls(&mut self) {
         let calls: Vec<_> = self.calls.keys().copied().collect();
         for id in calls {
             let ran = self.calls.get(&id).is_some_and(|call| call.counts_as_run());
@@ -79,16 +80,17 @@
         }
     }
 
-    /// Whether all transfers are confirmed, all bills archived and all changes mirrored.
+    /// Whether all transfers are acknowledged, all bills archived and all changes mirrored.
     fn is_settled(&self) -> bool {
-        let quiet = self
+        let archived_and_mirrored = self
             .owned
             .values()
             .all(|owned| owned.state().bills().is_empty() && !owned.has_unacked());
-        quiet && self.rights.outgoing.is_empty()
+        archived_and_mirrored && self.rights.outgoing.is_empty()
     }
 
-    /// Sends what is free to another account, of this zone if there is one.
+    /// Transfers all unreserved rights to the account of another router, in this zone if there is
+    /// one.
     fn hand_over_rights(&mut self) {
         let successors = self.directory.accounts().filter(|(id, row)| {
             row.state == AccountState::Active && row.backup.is_some() && **id != self.main
@@ -97,16 +99,16 @@
             .max_by_key(|(id, row)| (row.zone == self.config.zone, (*id).clone()))
             .map(|(id, _)| id.clone());
         let Some(successor) = successor else { return };
-        let mut moves = Vec::new();
+        let mut transfers = Vec::new();
         for (id, owned) in &self.owned {
             for budget in owned.state().holdings().keys() {
                 let free = self.unreserved_rights(id, budget);
                 if !free.is_zero() {
-                    moves.push((id.clone(), budget.clone(), free));
+                    transfers.push((id.clone(), budget.clone(), free));
                 }
             }
         }
-        for (from, budget, amount) in moves {
+        for (from, budget, amount) in transfers {
             self.transfer_rights(&from, &successor, &budget, amount);
         }
     }
--- a/crates/router-core/src/effect.rs
+++ b/crates/router-core/src/effect.rs
@@ -1,4 +1,4 @@
-//! What a router asks of its process.
+//! Effects: what the state machine instructs its process to do.
 
 use crate::call::CallId;
 use crate::refusal::Refusal;
@@ -7,29 +7,29 @@
 use stackpost_types::*;
 use std::net::SocketAddr;
 
-/// An attempt to be made.
+/// One attempt at a back end.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Dispatch {
     /// The request.
     pub call: CallId,
-    /// Its name across routers.
+    /// Identifies the request across routers.
     pub request: RequestId,
-    /// Which attempt.
+    /// Number of the attempt, from 1.
     pub number: u32,
     /// The back end.
     pub back_end: BackEndName,
-    /// Where it is reached.
+    /// The back end's address.
     pub address: SocketAddr,
-    /// Most tokens that it may generate; `None` for a plain service.
+    /// Maximum number of tokens to generate; `None` for a plain service.
     pub max_tokens: Option<u64>,
-    /// Whether the whole answer is to be kept for a retry.
+    /// Whether the complete response is stored for a retry under the same key.
     pub keep_answer: bool,
 }
 
-/// Something to be done by the process.
+/// An instruction to the process.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Send a message.
+    /// Send a message to another process of the fleet.
     Send {
         /// The receiver.
         to: Peer,
@@ -42,35 +42,35 @@
     Cancel {
         /// The request.
         call: CallId,
-        /// Which attempt.
+        /// Number of the attempt.
         number: u32,
     },
-    /// The answer's bytes may flow to the caller, all but its end.
+    /// Start sending the response to the caller, except for its end.
     StartResponse(CallId),
-    /// The answer's end may go to the caller.
+    /// Send the end of the response to the caller.
     Finish {
         /// The request.
         call: CallId,
-        /// What was billed.
+        /// Tokens billed for the request.
         billed: Tokens,
     },
-    /// Give the caller an answer that was kept.
+    /// Send the caller a stored response.
     Replay {
         /// The request.
         call: CallId,
-        /// The answer.
+        /// The stored response.
         answer: StoredAnswer,
     },
-    /// Give the caller its final refusal.
+    /// Send the caller its final refusal.
     Refuse {
         /// The request.
         call: CallId,
         /// The refusal.
         refusal: Refusal,
     },
-    /// The caller is gone and the request is off the books without having been sent.
+    /// The caller has disconnected, and the request was dropped without having been sent.
     Dropped(CallId),
-    /// Ask a back end what a request used, and cancel it there.
+    /// Query a back end for the usage of a request, and cancel the request there.
     QueryUsage {
         /// The account that holds the intent.
         account: AccountId,
@@ -78,13 +78,13 @@
         request: RequestId,
         /// The back end.
         back_end: BackEndName,
-        /// Where it is reached.
+        /// The back end's address.
         address: SocketAddr,
     },
-    /// Another node has taken this router's account over: go on as a new life.
+    /// Another node has taken this router's account over: continue as a new incarnation.
     Fenced,
-    /// The router has finished its work and may stop.
+    /// The router has finished its planned stop, and the process may exit.
     Drained,
-    /// Tell the operator.
+    /// Log a warning for the operator.
     Warn(String),
 }
--- a/crates/router-core/src/event.rs
+++ b/crates/router-core/src/event.rs
@@ -1,4 +1,4 @@
-//! What can happen to a router.
+//! Events: the inputs of the state machine.
 
 use crate::call::{Call, CallId};
 use stackpost_balance::{BlockHash, CacheChange, LoadReport};
@@ -6,7 +6,7 @@
 use stackpost_protocol::{Message, Peer};
 use stackpost_types::*;
 
-/// Token counts of one answer.
+/// Token counts of one response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
     /// Tokens of the prompt.
@@ -16,7 +16,7 @@
 }
 
 impl Usage {
-    /// Both together.
+    /// Prompt and completion tokens together.
     pub fn total(self) -> Tokens {
         Tokens(self.prompt_tokens.saturating_add(self.completion_tokens))
     }
@@ -25,48 +25,48 @@
 /// How an attempt at a back end ended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AttemptOutcome {
-    /// Nothing of the request left this process.
+    /// Nothing of the request was sent.
     NotSent {
-        /// Why.
+        /// What failed.
         reason: String,
     },
-    /// The back end answered without doing the work: an error status before any output.
+    /// The back end rejected the request: an error status before any output.
     Rejected {
-        /// The status.
+        /// HTTP status of the response.
         status: u16,
-        /// The answer, to be passed on.
+        /// The response, to be forwarded to the caller.
         answer: StoredAnswer,
-        /// For how long the back end wants no further request, if it said so.
+        /// The backoff that the response asks for, if any.
         rest: Option<Millis>,
     },
-    /// The request may have run, but its answer is not whole.
+    /// The request may have run, but its response is incomplete.
     Incomplete {
-        /// Why.
+        /// What failed.
         reason: String,
-        /// Tokens seen so far.
+        /// Tokens counted up to then.
         counted: Usage,
-        /// Whether bytes of it have gone to the caller.
+        /// Whether part of the response was sent to the caller.
         delivered: bool,
     },
-    /// The whole answer is here, with its end mark.
+    /// The complete response was received, with its end mark.
     Answered {
-        /// What the back end says it used.
+        /// The usage that the back end reported.
         reported: Option<Usage>,
-        /// What was seen here.
+        /// The usage that this router counted.
         counted: Usage,
-        /// The answer; kept if the request has a key.
+        /// The response; its body is stored if the request has a key.
         answer: StoredAnswer,
-        /// For how long the back end wants no further request, if the answer turns this one away and says so.
+        /// The backoff that the response asks for, if it rejects this request and asks for one.
         rest: Option<Millis>,
     },
-    /// The attempt was cancelled because the caller went away.
+    /// The attempt was cancelled because the caller disconnected.
     Cancelled {
-        /// Tokens seen so far.
+        /// Tokens counted up to then.
         counted: Usage,
     },
 }
 
-/// One line of the platform's machine list.
+/// One entry of the platform's machine list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlatformEntry {
     /// The back end.
@@ -75,12 +75,12 @@
     pub leaving: bool,
 }
 
-/// Something that happened.
+/// An input of the state machine.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// Time has passed.
     Tick,
-    /// A message came from another process of the fleet.
+    /// A message was received from another process of the fleet.
     Message {
         /// The sender.
         from: Peer,
@@ -95,9 +95,9 @@
     Attempt {
         /// The request.
         call: CallId,
-        /// Which attempt.
+        /// Number of the attempt.
         number: u32,
-        /// How.
+        /// How it ended.
         outcome: AttemptOutcome,
     },
     /// A back end reported its load.
@@ -107,7 +107,7 @@
         /// The report.
         report: LoadReport,
     },
-    /// A back end could not be asked for its load.
+    /// A back end's load could not be read.
     LoadFailed {
         /// The back end.
         back_end: BackEndName,
@@ -116,31 +116,31 @@
     Cache {
         /// The engine.
         back_end: BackEndName,
-        /// Number of the first event.
+        /// Sequence number of the first event.
         first: u64,
         /// The events.
         changes: Vec<CacheChange>,
     },
-    /// An engine's whole cache was read.
+    /// A snapshot of an engine's cache was read.
     CacheSnapshot {
         /// The engine.
         back_end: BackEndName,
-        /// Number of the next event.
+        /// Sequence number of the next event.
         next: u64,
-        /// The blocks held.
+        /// The cached blocks.
         blocks: Vec<BlockHash>,
     },
     /// The platform's machine list was read.
     Platform(Vec<PlatformEntry>),
-    /// A back end was asked what a request of a dead router used.
+    /// A back end answered a query for the usage of a request whose router has crashed.
     UsageReceived {
         /// The account that holds the intent.
         account: AccountId,
         /// The request.
         request: RequestId,
-        /// The usage; `None` if the back end can't say.
+        /// The usage; `None` if the back end does not know it.
         usage: Option<Usage>,
     },
-    /// The process was asked to stop.
+    /// The process was asked to stop: begin a planned stop.
     Drain,
 }
--- a/crates/router-core/src/key_store.rs
+++ b/crates/router-core/src/key_store.rs
@@ -1,4 +1,5 @@
-//! Idempotency keys, from the side of the account that keeps them, and the answers kept for them.
+//! Idempotency keys on the side of the account that stores them, and the responses stored for
+//! them.
 
 use crate::deferred::DeferredAction;
 use crate::keys::slot_of;
@@ -8,29 +9,30 @@
 use stackpost_types::*;
 use std::collections::VecDeque;
 
-/// Answers outlive their keys by this much, so that a kept key always leads to what became of it.
+/// Stored responses outlive their keys by this much, so that the outcome of every stored key can
+/// still be fetched.
 const ANSWER_GRACE: Millis = Millis(60_000);
 
-/// When keys and answers of an account were last touched.
+/// Retention times of an account's keys and stored responses.
 #[derive(Debug)]
 pub(crate) struct Retention {
-    /// When this router began to keep the account.
-    since: Timestamp,
+    /// When this router adopted the account or first used its key store.
+    started_at: Timestamp,
     claims: VecDeque<(Timestamp, KeyDigest, RequestId)>,
     answers: VecDeque<(Timestamp, RequestId)>,
 }
 
 impl Router {
     fn retention(&mut self, account: &AccountId) -> &mut Retention {
-        let since = self.now;
+        let started_at = self.now;
         self.key_retention.entry(account.clone()).or_insert_with(|| Retention {
-            since,
+            started_at,
             claims: VecDeque::new(),
             answers: VecDeque::new(),
         })
     }
 
-    /// Starts the clock for everything that an account which was taken over keeps.
+    /// Starts the retention period of all keys and responses of an adopted account.
     pub(crate) fn start_retention(&mut self, account: &AccountId) {
         let now = self.now;
         let Some(owned) = self.owned.get(account) else {
@@ -39,7 +41,7 @@
         let claims = owned.state().claims().iter();
         let claims = claims.map(|(key, claim)| (now, *key, claim.request)).collect();
         let answers = owned.state().answers().keys().map(|request| (now, *request)).collect();
-        self.key_retention.insert(account.clone(), Retention { since: now, claims, answers });
+        self.key_retention.insert(account.clone(), Retention { started_at: now, claims, answers });
     }
 
     pub(crate) fn retain_answer(&mut self, account: &AccountId, request: RequestId) {
@@ -47,53 +49,55 @@
         self.retention(account).answers.push_back((now, request));
     }
 
-    /// A router asks for the right to run a request under a key.
-    pub(crate) fn on_claim_key(&mut self, from: NodeId, ask: ClaimKey) {
-        let slot = self.directory.key_slot(&ask.zone, slot_of(&ask.key));
+    /// Handles a router's claim to run a request under a key.
+    pub(crate) fn on_claim_key(&mut self, from: NodeId, claim_key: ClaimKey) {
+        let slot = self.directory.key_slot(&claim_key.zone, slot_of(&claim_key.key));
         let Some((account, forgotten)) = slot.map(|(id, forgotten)| (id.clone(), forgotten)) else {
             return;
         };
-        let still_forgotten = forgotten && !self.forgetting_has_passed(&account);
+        let still_forgotten = forgotten && !self.forgotten_keys_expired(&account);
         let Some(owned) = self.owned.get(&account) else {
             return;
         };
-        let request = ask.claim.request;
-        let result = match owned.state().claim(&ask.key) {
+        let request = claim_key.claim.request;
+        let result = match owned.state().claim(&claim_key.key) {
             Some(held) if held.request == request => ClaimResult::Granted,
-            Some(held) if held.fingerprint != ask.claim.fingerprint => {
+            Some(held) if held.fingerprint != claim_key.claim.fingerprint => {
                 ClaimResult::FingerprintMismatch
             }
-            Some(held) if ask.replaces != Some(held.request) => ClaimResult::HeldBy(held.clone()),
+            Some(held) if claim_key.replaces != Some(held.request) => {
+                ClaimResult::HeldBy(held.clone())
+            }
             None if still_forgotten => ClaimResult::Forgotten,
             _ => {
                 let now = self.now;
-                let (key, claim) = (ask.key, ask.claim);
+                let (key, claim) = (claim_key.key, claim_key.claim);
                 self.record(&account, Record::Claim { key, claim });
                 self.retention(&account).claims.push_back((now, key, request));
                 ClaimResult::Granted
             }
         };
-        // Whatever is said must outlive this machine: the answer waits for the backup.
+        // The reply has to stay valid if this machine fails, so it waits for the backup.
         let sequence = self.owned.get(&account).map_or(0, |owned| owned.sequence());
         let message = Message::ClaimReply(ClaimReply { request, result });
         self.defer(&account, sequence, DeferredAction::Reply { to: from, message });
     }
 
-    /// Whether all keys that were lost with the zone's records are past their retention.
-    fn forgetting_has_passed(&mut self, account: &AccountId) -> bool {
-        let keep = Millis(self.directory.policy().key_retention_ms);
+    /// Whether the retention of all keys that were lost with the zone's records has passed.
+    fn forgotten_keys_expired(&mut self, account: &AccountId) -> bool {
+        let key_retention_period = Millis(self.directory.policy().key_retention_ms);
         let now = self.now;
-        now.since(self.retention(account).since) > keep
+        now.since(self.retention(account).started_at) > key_retention_period
     }
 
-    /// A router asks what became of a request.
+    /// Handles a router's query for the outcome of a request.
     pub(crate) fn on_fetch_answer(&mut self, from: NodeId, fetch: FetchAnswer) {
         let Some(owned) = self.owned.get(&fetch.account) else {
             return;
         };
         let FetchAnswer { account, request, requester } = fetch;
         let state = owned.state();
-        let result = if self.call_of_request.contains_key(&request) {
+        let result = if self.call_by_request.contains_key(&request) {
             FetchResult::Running
         } else if let Some(answer) = state.answer(&request) {
             if answer.is_unknown() {
@@ -105,22 +109,23 @@
             match state.intents().get(&request) {
                 Some(intent) if !intent.repeatable => FetchResult::Unknown,
                 Some(_) => {
-                    // Its router died while it ran. It was not billed and may run again: the
-                    // rights are freed first, so that it is billed only where it runs next.
+                    // Its router crashed while the request ran. It was not billed and may run
+                    // again: the rights are released first, so that it is billed only where it
+                    // runs next.
                     self.record(&account, Record::Release { request });
                     FetchResult::Free
                 }
                 None => FetchResult::Free,
             }
         };
-        let result = self.maybe_cross(&account, result);
+        let result = self.apply_swap_answers_fault(&account, result);
         let sequence = self.owned.get(&account).map_or(0, |owned| owned.sequence());
         let message = Message::FetchReply(FetchReply { requester, request, result });
         self.defer(&account, sequence, DeferredAction::Reply { to: from, message });
     }
 
-    /// The deliberate fault `swap_answers`.
-    fn maybe_cross(&self, account: &AccountId, result: FetchResult) -> FetchResult {
+    /// Injects the fault `swap_answers`.
+    fn apply_swap_answers_fault(&self, account: &AccountId, result: FetchResult) -> FetchResult {
         let newest =
             self.owned.get(account).and_then(|owned| owned.state().answers().values().last());
         match newest {
@@ -129,32 +134,40 @@
         }
     }
 
-    /// Drops keys and answers whose retention has passed.
+    /// Drops keys and stored responses whose retention has passed.
     pub(crate) fn tick_retention(&mut self) {
-        let keep = Millis(self.directory.policy().key_retention_ms);
-        let keep_answers = Millis(keep.0 + ANSWER_GRACE.0);
+        let key_retention_period = Millis(self.directory.policy().key_retention_ms);
+        let answer_retention_period = Millis(key_retention_period.0 + ANSWER_GRACE.0);
         let now = self.now;
-        let mut drops = Vec::new();
+        let mut expired_records = Vec::new();
         for (account, retention) in &mut self.key_retention {
-            let old = |touched: Timestamp, span: Millis| now.since(touched) > span;
-            while retention.claims.front().is_some_and(|(at, ..)| old(*at, keep)) {
+            let is_expired = |recorded_at: Timestamp, span: Millis| now.since(recorded_at) > span;
+            while retention
+                .claims
+                .front()
+                .is_some_and(|(at, ..)| is_expired(*at, key_retention_period))
+            {
                 let Some((_, key, request)) = retention.claims.pop_front() else {
                     break;
                 };
                 let state = self.owned.get(account).map(|owned| owned.state());
                 let held = state.and_then(|state| state.claim(&key));
                 if held.is_some_and(|claim| claim.request == request) {
-                    drops.push((account.clone(), Record::DropKey { key }));
+                    expired_records.push((account.clone(), Record::DropKey { key }));
                 }
             }
-            while retention.answers.front().is_some_and(|(at, _)| old(*at, keep_answers)) {
+            while retention
+                .answers
+                .front()
+                .is_some_and(|(at, _)| is_expired(*at, answer_retention_period))
+            {
                 let Some((_, request)) = retention.answers.pop_front() else {
                     break;
                 };
-                drops.push((account.clone(), Record::DropAnswer { request }));
+                expired_records.push((account.clone(), Record::DropAnswer { request }));
             }
         }
-        for (account, record) in drops {
+        for (account, record) in expired_records {
             self.record(&account, record);
         }
     }
--- a/crates/router-core/src/keys.rs
+++ b/crates/router-core/src/keys.rs
@@ -1,4 +1,4 @@
-//! Idempotency keys, from the side of the router that serves the request.
+//! Idempotency keys on the side of the router that serves the request.
 
 use crate::call::{CallId, Stage};
 use crate::effect::Effect;
@@ -11,31 +11,32 @@
 use stackpost_table::KEY_SLOT_COUNT;
 use stackpost_types::*;
 
-/// Time after which an unanswered question is asked again.
-const ASK_AGAIN_AFTER: Millis = Millis(100);
-/// Longest silence of a key's keeper before the request is refused.
+/// Time after which an unanswered claim or fetch is sent again.
+const RESEND_INTERVAL: Millis = Millis(100);
+/// Maximum wait for the key's keeper, the owner of the account that stores the key, before the
+/// request is refused.
 const KEEPER_TIMEOUT: Millis = Millis(800);
-/// Longest silence of the account that ran the first attempt.
+/// Maximum wait for the holder of the key, the account that ran the earlier request.
 const HOLDER_TIMEOUT: Millis = Millis(5_000);
 
-/// The slot of a zone that keeps `key`.
+/// The key slot of a zone that stores `key`.
 pub(crate) fn slot_of(key: &KeyDigest) -> usize {
     (key.to_u64() % KEY_SLOT_COUNT as u64) as usize
 }
 
 impl Router {
-    /// Asks the keeper of a call's key for the right to run it.
-    pub(crate) fn ask_for_key(&mut self, id: CallId) {
+    /// Claims a call's key at its keeper.
+    pub(crate) fn send_key_claim(&mut self, id: CallId) {
         let now = self.now;
         let main = self.main.clone();
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
         let Some(key) = call.key.clone() else { return };
-        let Stage::Claiming { asked_at, replaces } = &mut call.stage else {
+        let Stage::Claiming { requested_at, replaces } = &mut call.stage else {
             return;
         };
-        *asked_at = now;
+        *requested_at = now;
         let replaces = *replaces;
         let claim = KeyClaim {
             request: call.call.request,
@@ -54,7 +55,7 @@
     }
 
     pub(crate) fn on_claim_reply(&mut self, reply: ClaimReply) {
-        let Some(id) = self.call_of_request.get(&reply.request).copied() else {
+        let Some(id) = self.call_by_request.get(&reply.request).copied() else {
             return;
         };
         let Some(call) = self.calls.get(&id) else {
@@ -66,14 +67,14 @@
         match reply.result {
             ClaimResult::Granted => {
                 self.trace_call_step(id, TraceStep::KeyGranted);
-                self.take_key(id);
+                self.accept_key(id);
                 self.request_rights(id);
             }
             ClaimResult::HeldBy(claim) => {
                 let (account, request) = (claim.holder, claim.request);
                 self.trace_call_step(id, TraceStep::KeyHeld { request, account: account.clone() });
-                self.set_stage(id, Stage::Fetching { account, request, asked_at: self.now });
-                self.fetch(id);
+                self.set_stage(id, Stage::Fetching { account, request, requested_at: self.now });
+                self.fetch_answer(id);
             }
             ClaimResult::FingerprintMismatch => {
                 let detail = "this Idempotency-Key came with another request before";
@@ -86,25 +87,25 @@
         }
     }
 
-    /// A key that was taken over from an earlier request leaves open whether that one ran.
-    fn take_key(&mut self, id: CallId) {
+    /// Marks the key as granted. If it replaces an earlier request, that one may have run.
+    fn accept_key(&mut self, id: CallId) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         call.key_granted = true;
         call.earlier_attempt_sent |=
             matches!(call.stage, Stage::Claiming { replaces: Some(_), .. });
     }
 
-    /// Asks whoever answers for the first attempt what became of it.
-    fn fetch(&mut self, id: CallId) {
+    /// Queries the owner of the holding account for the outcome of the earlier request.
+    fn fetch_answer(&mut self, id: CallId) {
         let now = self.now;
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
         let requester = call.call.request;
-        let Stage::Fetching { account, request, asked_at } = &mut call.stage else {
+        let Stage::Fetching { account, request, requested_at } = &mut call.stage else {
             return;
         };
-        *asked_at = now;
+        *requested_at = now;
         let (account, request) = (account.clone(), *request);
         match self.directory.owner(&account).cloned() {
             Some(owner) => {
@@ -119,7 +120,7 @@
     }
 
     pub(crate) fn on_fetch_reply(&mut self, reply: FetchReply) {
-        let Some(id) = self.call_of_request.get(&reply.requester).copied() else {
+        let Some(id) = self.call_by_request.get(&reply.requester).copied() else {
             return;
         };
         let Some(call) = self.calls.get_mut(&id) else {
@@ -130,7 +131,7 @@
             _ => return,
         }
         match reply.result {
-            FetchResult::Running => call.stage_since = self.now,
+            FetchResult::Running => call.stage_entered_at = self.now,
             FetchResult::Answer(answer) => {
                 self.trace_call_step(id, TraceStep::Replayed { request: reply.request });
                 self.remove_call(id);
@@ -138,8 +139,8 @@
             }
             FetchResult::Free => {
                 let replaces = Some(reply.request);
-                self.set_stage(id, Stage::Claiming { asked_at: Timestamp(0), replaces });
-                self.ask_for_key(id);
+                self.set_stage(id, Stage::Claiming { requested_at: Timestamp(0), replaces });
+                self.send_key_claim(id);
             }
             FetchResult::Unknown => {
                 let detail = format!("request {} under this key may have run", reply.request);
@@ -150,48 +151,52 @@
 
     pub(crate) fn tick_keys(&mut self) {
         let now = self.now;
-        let mut ask_again = Vec::new();
-        let mut fetch_again = Vec::new();
-        let mut keeper_silent = Vec::new();
-        let mut holder_silent = Vec::new();
+        let mut claims_to_resend = Vec::new();
+        let mut fetches_to_resend = Vec::new();
+        let mut keeper_timed_out = Vec::new();
+        let mut holder_timed_out = Vec::new();
         for (id, call) in &self.calls {
-            let waited = now.since(call.stage_since);
+            let waited = now.since(call.stage_entered_at);
             match &call.stage {
-                Stage::Claiming { .. } if waited >= KEEPER_TIMEOUT => keeper_silent.push(*id),
-                Stage::Claiming { asked_at, .. } if now.since(*asked_at) >= ASK_AGAIN_AFTER => {
-                    ask_again.push(*id);
+                Stage::Claiming { .. } if waited >= KEEPER_TIMEOUT => keeper_timed_out.push(*id),
+                Stage::Claiming { requested_at, .. }
+                    if now.since(*requested_at) >= RESEND_INTERVAL =>
+                {
+                    claims_to_resend.push(*id);
                 }
-                Stage::Fetching { .. } if waited >= HOLDER_TIMEOUT => holder_silent.push(*id),
-                Stage::Fetching { asked_at, .. } if now.since(*asked_at) >= ASK_AGAIN_AFTER => {
-                    fetch_again.push(*id);
+                Stage::Fetching { .. } if waited >= HOLDER_TIMEOUT => holder_timed_out.push(*id),
+                Stage::Fetching { requested_at, .. }
+                    if now.since(*requested_at) >= RESEND_INTERVAL =>
+                {
+                    fetches_to_resend.push(*id);
                 }
                 _ => {}
             }
         }
-        for id in keeper_silent {
-            self.refuse_keeper_silent(id);
+        for id in keeper_timed_out {
+            self.refuse_keeper_unreachable(id);
         }
-        for id in holder_silent {
+        for id in holder_timed_out {
             let detail = "the machine that works on this key's request does not answer";
             let refusal = Refusal::unknown(RefusalReason::AnswerLost, detail);
             self.refuse(id, refusal.retry_after(RETRY_AFTER_PARTITION));
         }
-        for id in ask_again {
-            self.ask_for_key(id);
+        for id in claims_to_resend {
+            self.send_key_claim(id);
         }
-        for id in fetch_again {
-            self.fetch(id);
+        for id in fetches_to_resend {
+            self.fetch_answer(id);
         }
         self.tick_retention();
     }
 
-    fn refuse_keeper_silent(&mut self, id: CallId) {
+    fn refuse_keeper_unreachable(&mut self, id: CallId) {
         let Some(call) = self.calls.get(&id) else {
             return;
         };
         let Some(key) = &call.key else { return };
         let detail = format!("zone {} keeps this key and does not answer", key.zone);
-        // Whether an earlier request under the key has run, nobody here knows.
+        // This router does not know whether an earlier request under the key has run.
         let refusal = Refusal::unknown(RefusalReason::KeyKeeperUnreachable, detail);
         self.refuse(id, refusal.retry_after(RETRY_AFTER_PARTITION));
     }
--- a/crates/router-core/src/lib.rs
+++ b/crates/router-core/src/lib.rs
@@ -2,9 +2,10 @@
 //!
 //! [`Router::handle`] takes the time and an [`Event`] and returns [`Effect`]s. The same machine
 //! runs in the router process, behind sockets and timers, and in the deterministic fleet of the
-//! tests. A request passes through these modules in order: `admission` (who asks, for what),
-//! `keys` (idempotency), `rights` (reserve the most it can cost), `dispatch` (queue, choose a back
-//! end, send), `settlement` (bill what was used, let the answer's end go).
+//! tests. A request passes through these modules in order: `admission` (authenticate the tenant
+//! and find the service), `keys` (idempotency), `rights` (reserve the maximum cost), `dispatch`
+//! (queue, choose a back end, send), `settlement` (bill the usage, release the end of the
+//! response).
 
 mod accounts;
 mod admission;
--- a/crates/router-core/src/pulls.rs
+++ b/crates/router-core/src/pulls.rs
@@ -1,4 +1,4 @@
-//! Asking other accounts for rights, and being asked.
+//! Pulls: requests for rights to other accounts, and replies to such requests.
 
 use crate::rights::RightsState;
 use crate::router::Router;
@@ -8,61 +8,62 @@
 use stackpost_types::*;
 use std::collections::BTreeMap;
 
-/// Longest wait for one account's answer before the next is asked.
+/// Maximum wait for one account's reply before the next account is tried.
 const PULL_TIMEOUT: Millis = Millis(60);
-/// Time between two rounds of asking while reservations elsewhere may come free.
+/// Time between two rounds of pulls while rights reserved elsewhere may become available.
 const ROUND_INTERVAL: Millis = Millis(100);
-/// Hints passed along with an answer.
-const HINTS: usize = 4;
+/// Maximum number of other holders named in a reply.
+const MAX_HINTS: usize = 4;
 
-/// Whom a router has asked for a budget's rights since the first call began to wait.
+/// Pulls for a budget's rights since the first call began to wait for them.
 #[derive(Debug)]
 pub(crate) struct PullRound {
     started_at: Timestamp,
     round_started_at: Timestamp,
-    asked: BTreeMap<AccountId, Asked>,
+    pulls: BTreeMap<AccountId, PullState>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Asked {
+enum PullState {
     Pending { since: Timestamp },
-    Silent,
+    TimedOut,
     Answered { reserved: Tokens, granted: Tokens },
 }
 
 impl RightsState {
-    fn pending(&self, budget: &BudgetName) -> bool {
-        self.rounds.get(budget).is_some_and(|round| {
-            round.asked.values().any(|asked| matches!(asked, Asked::Pending { .. }))
+    fn has_pending_pull(&self, budget: &BudgetName) -> bool {
+        self.pull_rounds.get(budget).is_some_and(|round| {
+            round.pulls.values().any(|state| matches!(state, PullState::Pending { .. }))
         })
     }
 }
 
 impl Router {
-    /// Asks the next account if calls wait and no answer is outstanding.
+    /// Sends a pull to the next account if calls wait and no reply is outstanding.
     pub(crate) fn start_pulls(&mut self, budget: &BudgetName) {
-        if self.shortfall(budget).is_zero() || self.rights.pending(budget) {
+        if self.shortfall(budget).is_zero() || self.rights.has_pending_pull(budget) {
             return;
         }
         if self.is_solo() {
-            // Nobody knows the unmirrored account, so nobody could send it anything.
+            // Other routers do not know the unmirrored account, so none can send it rights.
             let own = self.main.clone();
             self.refuse_first_waiting(budget, std::slice::from_ref(&own));
             return;
         }
         let now = self.now;
-        self.rights.rounds.entry(budget.clone()).or_insert_with(|| PullRound {
+        self.rights.pull_rounds.entry(budget.clone()).or_insert_with(|| PullRound {
             started_at: now,
             round_started_at: now,
-            asked: BTreeMap::new(),
+            pulls: BTreeMap::new(),
         });
-        match self.next_to_ask(budget) {
-            Some(account) => self.ask(budget, account),
-            None => self.end_of_round(budget),
+        match self.next_account_to_pull(budget) {
+            Some(account) => self.send_pull(budget, account),
+            None => self.on_round_complete(budget),
         }
     }
 
-    /// Accounts that may hold rights of a budget, nearest first, then those known to have most.
+    /// Accounts that may hold rights of a budget: those in this zone first, then by the available
+    /// amount last reported, largest first.
     fn holders(&self, budget: &BudgetName) -> Vec<AccountId> {
         let issued = self.directory.issue(budget).into_iter().flat_map(|row| row.issued.keys());
         let hinted =
@@ -76,29 +77,30 @@
         accounts.sort();
         accounts.dedup();
         accounts.sort_by_cached_key(|account| {
-            let far =
+            let in_other_zone =
                 self.directory.account(account).is_none_or(|row| row.zone != self.config.zone);
-            let known = self.rights.remote_holdings.get(budget).and_then(|held| held.get(account));
-            (far, std::cmp::Reverse(known.map(|held| held.available)), account.clone())
+            let holding =
+                self.rights.remote_holdings.get(budget).and_then(|held| held.get(account));
+            (in_other_zone, std::cmp::Reverse(holding.map(|held| held.available)), account.clone())
         });
         accounts
     }
 
-    fn next_to_ask(&self, budget: &BudgetName) -> Option<AccountId> {
-        let round = self.rights.rounds.get(budget)?;
-        self.holders(budget).into_iter().find(|account| !round.asked.contains_key(account))
+    fn next_account_to_pull(&self, budget: &BudgetName) -> Option<AccountId> {
+        let round = self.rights.pull_rounds.get(budget)?;
+        self.holders(budget).into_iter().find(|account| !round.pulls.contains_key(account))
     }
 
-    fn ask(&mut self, budget: &BudgetName, account: AccountId) {
+    fn send_pull(&mut self, budget: &BudgetName, account: AccountId) {
         let Some(owner) = self.directory.owner(&account).cloned() else {
             return;
         };
         let demand = self.rights.demand.get(budget).map(policy::DemandAverage::per_second);
         let need = self.shortfall(budget);
-        let ask = policy::ask(self.directory.policy(), need, demand.unwrap_or_default());
+        let request = policy::ask(self.directory.policy(), need, demand.unwrap_or_default());
         let since = self.now;
-        if let Some(round) = self.rights.rounds.get_mut(budget) {
-            round.asked.insert(account.clone(), Asked::Pending { since });
+        if let Some(round) = self.rights.pull_rounds.get_mut(budget) {
+            round.pulls.insert(account.clone(), PullState::Pending { since });
         }
         let first = self.rights.waiting.get(budget).and_then(|queue| queue.front().copied());
         if let Some(id) = first {
@@ -108,25 +110,26 @@
             budget: budget.clone(),
             from: account,
             to: self.paying_account(),
-            need: ask.need,
-            want: ask.want,
+            need: request.need,
+            want: request.want,
         };
         self.send(owner, Message::Pull(pull));
     }
 
-    /// Everyone has been asked. Asks again while something may come free, refuses otherwise.
-    fn end_of_round(&mut self, budget: &BudgetName) {
-        let Some(round) = self.rights.rounds.get(budget) else {
+    /// All accounts have been tried. Keeps the calls waiting while rights may become available, and
+    /// refuses the first one otherwise.
+    fn on_round_complete(&mut self, budget: &BudgetName) {
+        let Some(round) = self.rights.pull_rounds.get(budget) else {
             return;
         };
         let unreachable: Vec<AccountId> = round
-            .asked
+            .pulls
             .iter()
-            .filter(|(_, asked)| **asked == Asked::Silent)
+            .filter(|(_, state)| **state == PullState::TimedOut)
             .map(|(account, _)| account.clone())
             .collect();
-        let may_come_free = round.asked.values().any(|asked| match asked {
-            Asked::Answered { reserved, granted } => !reserved.is_zero() || !granted.is_zero(),
+        let may_become_available = round.pulls.values().any(|state| match state {
+            PullState::Answered { reserved, granted } => !reserved.is_zero() || !granted.is_zero(),
             _ => false,
         });
         let own = self.owned.get(&self.main).and_then(|main| main.state().holding(budget));
@@ -134,10 +137,10 @@
             || !self.rights.reserved_locally(&self.main, budget).is_zero();
         let waited = self.now.since(round.started_at);
         let timeout = Millis(self.directory.policy().rights_wait_ms);
-        let hopeless = !may_come_free && !own_reserved && unreachable.is_empty();
-        if hopeless || waited >= timeout {
+        let no_rights_expected = !may_become_available && !own_reserved && unreachable.is_empty();
+        if no_rights_expected || waited >= timeout {
             self.refuse_first_waiting(budget, &unreachable);
-            self.rights.rounds.remove(budget);
+            self.rights.pull_rounds.remove(budget);
             self.start_pulls(budget);
         }
     }
@@ -146,18 +149,20 @@
         let now = self.now;
         let budgets: Vec<BudgetName> = self.rights.waiting.keys().cloned().collect();
         for budget in budgets {
-            if let Some(round) = self.rights.rounds.get_mut(&budget) {
-                for asked in round.asked.values_mut() {
-                    if matches!(asked, Asked::Pending { since } if now.since(*since) >= PULL_TIMEOUT)
-                    {
-                        *asked = Asked::Silent;
+            if let Some(round) = self.rights.pull_rounds.get_mut(&budget) {
+                for state in round.pulls.values_mut() {
+                    if matches!(
+                    state,
+                    PullState::Pending { since } if now.since(*since) >= PULL_TIMEOUT
+                    ) {
+                        *state = PullState::TimedOut;
                     }
                 }
                 let complete =
-                    !round.asked.values().any(|asked| matches!(asked, Asked::Pending { .. }));
+                    !round.pulls.values().any(|state| matches!(state, PullState::Pending { .. }));
                 if complete && now.since(round.round_started_at) >= ROUND_INTERVAL {
                     round.round_started_at = now;
-                    round.asked.retain(|_, asked| *asked == Asked::Silent);
+                    round.pulls.retain(|_, state| *state == PullState::TimedOut);
                 }
             }
             self.reserve_for_waiting(&budget);
@@ -165,25 +170,26 @@
         }
     }
 
-    /// Another account asks for rights.
+    /// Handles a pull by another account.
     pub(crate) fn on_pull(&mut self, from: NodeId, pull: Pull) {
-        // Rights sent to an account without a known owner would be out of everyone's reach.
+        // Rights sent to an account without a known owner could not be used by any router.
         let receiver_known = self.directory.owner(&pull.to).is_some();
-        let askable = self.owned.contains_key(&pull.from) && pull.from.kind != AccountKind::Solo;
-        if !askable || !receiver_known {
+        let can_serve = self.owned.contains_key(&pull.from) && pull.from.kind != AccountKind::Solo;
+        if !can_serve || !receiver_known {
             return;
         }
         if self.unreserved_rights(&pull.from, &pull.budget) < pull.need {
             self.reclaim_solo(&pull.budget);
         }
         let free = self.unreserved_rights(&pull.from, &pull.budget);
-        // Of two routers that lack rights and ask one another, the one with the smaller need goes
-        // first; otherwise the last rights would be carried back and forth.
-        let own_need = self.first_need(&pull.budget);
-        let own_first = own_need.is_some_and(|need| (need, &self.main) < (pull.need, &pull.to));
-        let spare = if own_first { free - own_need.unwrap_or_default() } else { free };
-        let ask = policy::TransferRequest { need: pull.need, want: pull.want };
-        let granted = policy::transfer_amount(spare, ask);
+        // If two routers that lack rights pull from each other, the one with the smaller need goes
+        // first; otherwise the last rights would move back and forth between them.
+        let own_need = self.first_waiting_need(&pull.budget);
+        let own_need_first =
+            own_need.is_some_and(|need| (need, &self.main) < (pull.need, &pull.to));
+        let spare = if own_need_first { free - own_need.unwrap_or_default() } else { free };
+        let request = policy::TransferRequest { need: pull.need, want: pull.want };
+        let granted = policy::transfer_amount(spare, request);
         if !granted.is_zero() {
             self.transfer_rights(&pull.from, &pull.to, &pull.budget, granted);
         }
@@ -206,7 +212,7 @@
         self.send(from, Message::PullReply(reply));
     }
 
-    fn first_need(&self, budget: &BudgetName) -> Option<Tokens> {
+    fn first_waiting_need(&self, budget: &BudgetName) -> Option<Tokens> {
         let first = self.rights.waiting.get(budget)?.front()?;
         self.calls.get(first).map(|call| call.bound)
     }
@@ -215,23 +221,23 @@
         let Some(held) = self.rights.remote_holdings.get(budget) else {
             return Vec::new();
         };
-        let mut known: Vec<_> = held
+        let mut candidates: Vec<_> = held
             .iter()
             .filter(|(account, held)| *account != requester && !held.available.is_zero())
             .collect();
-        known.sort_by_key(|(_, held)| std::cmp::Reverse(held.available));
-        known.into_iter().take(HINTS).map(|(account, _)| account.clone()).collect()
+        candidates.sort_by_key(|(_, held)| std::cmp::Reverse(held.available));
+        candidates.into_iter().take(MAX_HINTS).map(|(account, _)| account.clone()).collect()
     }
 
     pub(crate) fn on_pull_reply(&mut self, reply: PullReply) {
         for account in &reply.others {
             self.add_holder_hint(&reply.budget, account);
         }
-        if let Some(round) = self.rights.rounds.get_mut(&reply.budget) {
-            let answered = Asked::Answered { reserved: reply.reserved, granted: reply.granted };
-            round.asked.insert(reply.from, answered);
+        if let Some(round) = self.rights.pull_rounds.get_mut(&reply.budget) {
+            let answered = PullState::Answered { reserved: reply.reserved, granted: reply.granted };
+            round.pulls.insert(reply.from, answered);
         }
-        // What is given arrives as a transfer of its own, so nobody else is asked before it.
+        // Granted rights arrive in a separate transfer, so no other account is tried before that.
         if reply.granted < self.shortfall(&reply.budget) || reply.granted.is_zero() {
             self.start_pulls(&reply.budget);
         }
--- a/crates/router-core/src/refusal.rs
+++ b/crates/router-core/src/refusal.rs
@@ -1,21 +1,21 @@
-//! Final refusals.
+//! Refusals: final error responses and their reasons.
 
 use serde::{Deserialize, Serialize};
 use stackpost_types::Millis;
 use std::fmt;
 
-/// Whether a refused request ran.
+/// Whether a refused request was executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ExecutionOutcome {
-    /// It ran nowhere.
+    /// It did not run at any back end.
     NotRun,
     /// It may have run.
     Unknown,
 }
 
 impl ExecutionOutcome {
-    /// The name used in answers.
+    /// The name used in responses.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::NotRun => "not_run",
@@ -55,7 +55,7 @@
 }
 
 impl RefusalReason {
-    /// The code used in answers and metrics.
+    /// The code used in responses and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::MissingKey => "missing_key",
@@ -84,13 +84,13 @@
         }
     }
 
-    /// Whether it says nothing of the request itself, so that the same request may have been taken
-    /// by another router.
+    /// Whether the reason concerns the router's state and not the request, so that another router
+    /// may have accepted the same request.
     pub fn is_transient(self) -> bool {
         matches!(self, Self::NotReady | Self::Draining)
     }
 
-    /// What a caller or an operator can do about it.
+    /// Explanation for the caller or operator, with what to do about it.
     pub fn advice(self) -> &'static str {
         match self {
             Self::MissingKey => "send the tenant's key as `Authorization: Bearer <key>`",
@@ -126,21 +126,21 @@
     }
 }
 
-/// A final answer to a request that is not served.
+/// The final response to a request that is not served.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// Why.
+    /// Why the request is refused.
     pub reason: RefusalReason,
-    /// Whether it ran.
+    /// Whether the request ran.
     pub outcome: ExecutionOutcome,
-    /// When another try makes sense.
+    /// Time after which the caller may retry.
     pub retry_after: Option<Millis>,
-    /// The particulars, with the peer where one is involved.
+    /// Details, with the peer where one is involved.
     pub detail: String,
 }
 
 impl Refusal {
-    /// A refusal of a request that ran nowhere.
+    /// A refusal of a request that did not run.
     pub fn not_run(reason: RefusalReason, detail: impl Into<String>) -> Self {
         Self { reason, outcome: ExecutionOutcome::NotRun, retry_after: None, detail: detail.into() }
     }
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Adds when another try makes sense.
+    /// Sets the time after which the caller may retry.
     pub fn retry_after(mut self, span: Millis) -> Self {
         self.retry_after = Some(span);
         self
--- a/crates/router-core/src/rights.rs
+++ b/crates/router-core/src/rights.rs
@@ -1,4 +1,4 @@
-//! Reserving the most a request can cost before anything is sent.
+//! Reservation of a request's maximum cost before anything is sent.
 
 use crate::call::{CallId, CallState, Stage};
 use crate::pulls::PullRound;
@@ -10,26 +10,28 @@
 use stackpost_types::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// When a caller without enough budget may ask again: reservations of others may come free.
+/// `retry_after` of refusals because of an exhausted budget: reserved rights of other requests may
+/// become available.
 const RETRY_AFTER_EXHAUSTED: Millis = Millis(5_000);
-/// When a caller may ask again if a second machine or rights are out of reach.
+/// `retry_after` of refusals because another machine or the rights are unreachable.
 pub(crate) const RETRY_AFTER_PARTITION: Millis = Millis(2_000);
 
-/// Rights that are spoken for but not in any record, and the requests that wait for more.
+/// Rights reserved locally without a record, the calls that wait for rights, and the state of
+/// pulls, transfers and reports.
 #[derive(Debug, Default)]
 pub(crate) struct RightsState {
     reserved: BTreeMap<(AccountId, BudgetName), Tokens>,
     pub waiting: BTreeMap<BudgetName, VecDeque<CallId>>,
-    pub rounds: BTreeMap<BudgetName, PullRound>,
+    pub pull_rounds: BTreeMap<BudgetName, PullRound>,
     pub outgoing: BTreeMap<(AccountId, AccountId, BudgetName), OutgoingTransfer>,
     pub demand: BTreeMap<BudgetName, DemandAverage>,
     pub remote_holdings: BTreeMap<BudgetName, BTreeMap<AccountId, RemoteHolding>>,
     pub last_rebalanced_at: Timestamp,
-    /// When each account was last heard of as a holder.
+    /// When each account's last report of its holdings was received.
     pub last_report_at: BTreeMap<AccountId, Timestamp>,
-    /// What the home accounts were told of this router's rights.
+    /// What was last reported to the owner of each home account.
     pub reported: BTreeMap<NodeId, ReportedHoldings>,
-    /// Budgets of which something was told last time, so that their end is told too.
+    /// Budgets of the last report; one that is no longer active is reported once more.
     pub reported_budgets: BTreeSet<BudgetName>,
 }
 
@@ -54,13 +56,13 @@
 }
 
 impl Router {
-    /// Rights of `budget` in `account` that no request has spoken for.
+    /// Rights of `budget` in `account` that no request has reserved.
     pub(crate) fn unreserved_rights(&self, account: &AccountId, budget: &BudgetName) -> Tokens {
         let held = self.owned.get(account).map(|owned| owned.state().available(budget));
         held.unwrap_or_default() - self.rights.reserved_locally(account, budget)
     }
 
-    /// Begins the search for rights for a call.
+    /// Queues a call for rights to its maximum cost, or refuses it if they can't be granted.
     pub(crate) fn request_rights(&mut self, id: CallId) {
         let Some(call) = self.calls.get(&id) else {
             return;
@@ -87,7 +89,7 @@
         self.start_pulls(&budget);
     }
 
-    /// Reserves for waiting calls in order, as far as rights reach.
+    /// Reserves rights for waiting calls in order, as far as the available rights suffice.
     pub(crate) fn reserve_for_waiting(&mut self, budget: &BudgetName) {
         let account = self.paying_account();
         while let Some(id) = self.first_waiting(budget) {
@@ -125,7 +127,7 @@
         self.enqueue(id);
     }
 
-    /// Takes a call out of the line for rights.
+    /// Removes a call from the queue for rights.
     pub(crate) fn remove_from_rights_queue(&mut self, budget: &BudgetName, id: CallId) {
         let Some(queue) = self.rights.waiting.get_mut(budget) else {
             return;
@@ -133,11 +135,11 @@
         queue.retain(|waiting| *waiting != id);
         if queue.is_empty() {
             self.rights.waiting.remove(budget);
-            self.rights.rounds.remove(budget);
+            self.rights.pull_rounds.remove(budget);
         }
     }
 
-    /// What the waiting calls lack: enough for the first of them.
+    /// Rights that the first waiting call lacks.
     pub(crate) fn shortfall(&self, budget: &BudgetName) -> Tokens {
         let Some(first) = self.rights.waiting.get(budget).and_then(|queue| queue.front()) else {
             return Tokens::ZERO;
@@ -146,7 +148,7 @@
         bound - self.unreserved_rights(&self.paying_account(), budget)
     }
 
-    /// Refuses the first waiting call: nobody who can be asked has enough.
+    /// Refuses the first waiting call, since no reachable account has enough rights.
     pub(crate) fn refuse_first_waiting(&mut self, budget: &BudgetName, unreachable: &[AccountId]) {
         let Some(id) = self.rights.waiting.get(budget).and_then(|queue| queue.front().copied())
         else {
@@ -174,7 +176,7 @@
         self.refuse(id, refusal);
     }
 
-    /// Moves a call's reservation into an intent record; the record then holds it.
+    /// Releases a call's local reservation once its intent record reserves the rights.
     pub(crate) fn move_reservation_to_intent(&mut self, id: CallId) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
@@ -185,12 +187,12 @@
         }
     }
 
-    /// The account that pays for new requests.
+    /// The account that new requests are charged to.
     pub(crate) fn paying_account(&self) -> AccountId {
         if self.is_solo() { self.solo.clone() } else { self.main.clone() }
     }
 
-    /// Rights of a budget may have come free.
+    /// Rights of the call's budget may have become available.
     pub(crate) fn on_rights_freed(&mut self, call: &CallState) {
         let budget = call.budget.clone();
         self.reserve_for_waiting(&budget);
--- a/crates/router-core/src/router.rs
+++ b/crates/router-core/src/router.rs
@@ -1,4 +1,4 @@
-//! The state machine: its parts, and the entry point.
+//! The state machine: its state and its entry point, [`Router::handle`].
 
 use crate::call::{CallId, CallState, Stage};
 use crate::deferred::DeferredAction;
@@ -15,67 +15,67 @@
 use stackpost_types::*;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Longest wait for the platform's first list.
+/// Maximum wait for the platform's first machine list.
 const PLATFORM_TIMEOUT: Millis = Millis(5_000);
 
-/// Fixed facts about a router's life.
+/// Fixed parameters of one incarnation of a router.
 #[derive(Clone, Debug)]
 pub struct RouterConfig {
-    /// This life.
+    /// Machine and incarnation.
     pub node: NodeId,
-    /// The zone the machine stands in.
+    /// The machine's zone.
     pub zone: ZoneName,
     /// The control replicas.
     pub control: Vec<MachineName>,
-    /// Whether there is a platform list to be read.
+    /// Whether the platform publishes a machine list.
     pub has_platform: bool,
-    /// Deliberate faults, for tests of the tests. All off in a real router.
+    /// Injected faults, which verify that the test checks detect them. All off in production.
     pub defects: Defects,
 }
 
-/// Deliberate faults that tests switch on to see that their checks notice.
+/// Faults that tests inject to verify that their checks detect them.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Defects {
-    /// Let effects take place before the backup holds the change.
+    /// Run deferred actions before the backup has acknowledged the change.
     pub skip_mirror: bool,
-    /// Send a non-repeatable request again after an attempt that may have run.
+    /// Retry a non-idempotent request after an attempt that may have run.
     pub retry_after_send: bool,
-    /// Say `not_run` where the outcome is unknown.
+    /// Report `not_run` where the outcome is unknown.
     pub claim_not_run: bool,
     /// Spend without reserving.
     pub skip_reserve: bool,
-    /// Bill each answer twice.
+    /// Bill each response twice.
     pub bill_twice: bool,
-    /// Take in a configuration that is older than the one held.
+    /// Apply a configuration that is older than the current one.
     pub accept_old_configuration: bool,
-    /// Send new work to back ends that are leaving.
+    /// Send new requests to back ends that are leaving.
     pub ignore_leaving: bool,
     /// Stop without waiting for requests in flight.
     pub drain_at_once: bool,
-    /// Give a retry the answer of whichever request ended last.
+    /// Answer a retry with the stored response of another request.
     pub swap_answers: bool,
 }
 
-/// What a router says of itself.
+/// A router's status, as reported to operators.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RouterStatus {
-    /// This life.
+    /// Machine and incarnation.
     pub node: NodeId,
-    /// Its zone.
+    /// The machine's zone.
     pub zone: ZoneName,
-    /// Whether it takes requests.
+    /// Whether it accepts requests.
     pub ready: bool,
-    /// Whether it is finishing its work.
+    /// Whether a planned stop is in progress.
     pub draining: bool,
-    /// The configuration in force.
+    /// Version of the configuration in force.
     pub version: Version,
-    /// Requests being worked on.
+    /// Requests in process.
     pub in_flight: usize,
     /// Requests waiting for a back end.
     pub queued: usize,
-    /// The backup of its account.
+    /// The backup of its main account.
     pub backup: Option<NodeId>,
-    /// Whether it lives on its unmirrored account.
+    /// Whether it spends only from its unmirrored account.
     pub solo: bool,
     /// Accounts it owns.
     pub owned: Vec<AccountId>,
@@ -85,7 +85,7 @@
     pub unarchived_bills: usize,
 }
 
-/// A router.
+/// The router's state machine.
 #[derive(Debug)]
 pub struct Router {
     pub(crate) config: RouterConfig,
@@ -98,7 +98,7 @@
     pub(crate) solo: AccountId,
     pub(crate) deferred_actions: BTreeMap<AccountId, VecDeque<(u64, DeferredAction)>>,
     pub(crate) calls: BTreeMap<CallId, CallState>,
-    pub(crate) call_of_request: BTreeMap<RequestId, CallId>,
+    pub(crate) call_by_request: BTreeMap<RequestId, CallId>,
     pub(crate) balancer: Balancer,
     /// Back ends on the platform's list, and whether each is leaving; `None` until first read.
     pub(crate) platform: Option<BTreeMap<BackEndName, bool>>,
@@ -114,11 +114,11 @@
     pub(crate) fenced: bool,
     pub(crate) traces: Traces,
     pub(crate) effects: Vec<Effect>,
-    local: VecDeque<Message>,
+    local_messages: VecDeque<Message>,
 }
 
 impl Router {
-    /// A router that starts its life at `now`.
+    /// Creates a router whose incarnation starts at `now`.
     pub fn new(config: RouterConfig, now: Timestamp) -> Self {
         let main = AccountId::mirrored(&config.node);
         let solo = AccountId::solo(&config.node);
@@ -133,7 +133,7 @@
             solo,
             deferred_actions: BTreeMap::new(),
             calls: BTreeMap::new(),
-            call_of_request: BTreeMap::new(),
+            call_by_request: BTreeMap::new(),
             balancer: Balancer::default(),
             platform: None,
             started_at: now,
@@ -148,14 +148,14 @@
             fenced: false,
             traces: Traces::default(),
             effects: Vec::new(),
-            local: VecDeque::new(),
+            local_messages: VecDeque::new(),
             config,
         }
     }
 
-    /// The next life of a router whose account was taken over, in the same process. Unmirrored
-    /// accounts were never taken over: nobody else knows what they hold, so the new life goes on
-    /// with their rights, requests and bills.
+    /// The next incarnation, in the same process, of a router whose account was taken over.
+    /// Unmirrored accounts are never taken over: no other node knows their contents, so the new
+    /// incarnation continues with their rights, requests and bills.
     pub fn next_incarnation(self, config: RouterConfig, now: Timestamp) -> Self {
         let solo_accounts = self.owned.into_iter().filter(|(id, _)| id.kind == AccountKind::Solo);
         let mut router = Self::new(config, now);
@@ -167,52 +167,53 @@
         router
     }
 
-    /// Takes in one event at `now`; `wall` is for bills and decides nothing.
+    /// Processes one event at `now`; `wall` only dates bills and affects no decision.
     pub fn handle(&mut self, now: Timestamp, wall: WallTime, event: Event) -> Vec<Effect> {
         self.now = self.now.max(now);
         self.wall = wall;
         if !self.fenced {
             self.dispatch_event(event);
             self.run_local_messages();
-            self.settle_down();
+            self.process_follow_ups();
         }
         std::mem::take(&mut self.effects)
     }
 
-    /// Whether requests are taken: there is a configuration and a backup.
+    /// Whether requests are accepted: there is a confirmed configuration, a backup and, where the
+    /// platform publishes one, a machine list.
     pub fn is_ready(&self) -> bool {
         let in_service = self.draining.is_none() && !self.fenced;
         in_service && self.directory.confirmed && self.has_backup() && self.platform_list_ready()
     }
 
-    /// Whether the platform's list has been read. Without it work could go to a back end that left
-    /// long ago. If the platform does not answer for long, the router does without.
+    /// Whether the platform's machine list has been read. Without it requests could go to a back
+    /// end that has already left. After a timeout the router proceeds without the list.
     pub(crate) fn platform_list_ready(&self) -> bool {
         let waited = self.now.since(self.started_at);
         !self.config.has_platform || self.platform.is_some() || waited > PLATFORM_TIMEOUT
     }
 
-    /// This life.
+    /// Machine and incarnation of this router.
     pub fn node(&self) -> &NodeId {
         &self.config.node
     }
 
-    /// The configuration in force.
+    /// Version of the configuration in force.
     pub fn version(&self) -> Version {
         self.directory.table.version()
     }
 
-    /// The configuration itself.
+    /// The configuration in force.
     pub fn table(&self) -> &Table {
         &self.directory.table
     }
 
-    /// The models that can be asked for.
+    /// The models that callers can request.
     pub fn models(&self) -> Vec<ModelName> {
         self.directory.models().cloned().collect()
     }
 
-    /// The back ends and what is known of them.
+    /// The back ends with their load and cache state.
     pub fn balancer(&self) -> &Balancer {
         &self.balancer
     }
@@ -227,12 +228,12 @@
         self.directory.tenant(hash).is_some()
     }
 
-    /// What happened to a request.
+    /// The trace of a request, if it is still stored.
     pub fn trace(&self, request: &RequestId) -> Option<&Trace> {
         self.traces.get(request)
     }
 
-    /// What happened to the newest requests, newest first.
+    /// Traces of the newest `count` requests, newest first.
     pub fn newest_traces(&self, count: usize) -> Vec<Trace> {
         self.traces.newest(count).cloned().collect()
     }
@@ -269,19 +270,19 @@
             Event::Attempt { call, number, outcome } => self.on_attempt(call, number, outcome),
             Event::Load { back_end, report } => {
                 let now = self.now;
-                if let Some(known) = self.balancer.get_mut(&back_end) {
-                    known.on_report(now, report);
+                if let Some(state) = self.balancer.get_mut(&back_end) {
+                    state.on_report(now, report);
                 }
             }
             Event::LoadFailed { back_end } => self.on_back_end_failure(&back_end),
             Event::Cache { back_end, first, changes } => {
-                if let Some(known) = self.balancer.get_mut(&back_end) {
-                    known.cache.apply_events(first, &changes);
+                if let Some(state) = self.balancer.get_mut(&back_end) {
+                    state.cache.apply_events(first, &changes);
                 }
             }
             Event::CacheSnapshot { back_end, next, blocks } => {
-                if let Some(known) = self.balancer.get_mut(&back_end) {
-                    known.cache.replace(next, &blocks);
+                if let Some(state) = self.balancer.get_mut(&back_end) {
+                    state.cache.replace(next, &blocks);
                 }
             }
             Event::Platform(entries) => self.on_platform(&entries),
@@ -323,11 +324,11 @@
     }
 
     fn on_configuration(&mut self, confirmed: bool, delta: &stackpost_table::Delta) {
-        let old = delta.to < self.version();
-        if self.config.defects.accept_old_configuration && old {
-            let whole = stackpost_table::Delta { from: Version(0), ..delta.clone() };
+        let is_older = delta.to < self.version();
+        if self.config.defects.accept_old_configuration && is_older {
+            let full_delta = stackpost_table::Delta { from: Version(0), ..delta.clone() };
             self.directory.table = Table::default();
-            self.directory.apply(confirmed, &whole);
+            self.directory.apply(confirmed, &full_delta);
             return;
         }
         let Some(changed) = self.directory.apply(confirmed, delta) else {
@@ -362,8 +363,9 @@
         self.tick_drain();
     }
 
-    /// Does what the event has made possible, until nothing more follows.
-    fn settle_down(&mut self) {
+    /// Runs deferred actions and starts queued calls that the event has made possible, then sends
+    /// changes to the backups.
+    fn process_follow_ups(&mut self) {
         self.run_deferred_actions();
         self.serve_queues();
         self.run_deferred_actions();
@@ -371,18 +373,18 @@
         self.flush_mirrors();
     }
 
-    /// Messages to this router itself take effect in the same step.
+    /// Handles messages to this router itself; they take effect in the same step.
     fn run_local_messages(&mut self) {
-        while let Some(message) = self.local.pop_front() {
-            let me = self.config.node.clone();
-            self.on_router_message(me, message);
+        while let Some(message) = self.local_messages.pop_front() {
+            let own_node = self.config.node.clone();
+            self.on_router_message(own_node, message);
             self.run_deferred_actions();
         }
     }
 
     pub(crate) fn send(&mut self, to: NodeId, message: Message) {
         if to == self.config.node {
-            self.local.push_back(message);
+            self.local_messages.push_back(message);
         } else {
             self.effects.push(Effect::Send { to: Peer::Router(to), message });
         }
@@ -414,15 +416,15 @@
         let now = self.now;
         if let Some(call) = self.calls.get_mut(&id) {
             call.stage = stage;
-            call.stage_since = now;
+            call.stage_entered_at = now;
         }
     }
 
-    /// Takes a call off the books.
+    /// Removes a call and releases its local reservation.
     pub(crate) fn remove_call(&mut self, id: CallId) -> Option<CallState> {
         let call = self.calls.remove(&id)?;
-        if self.call_of_request.get(&call.call.request) == Some(&id) {
-            self.call_of_request.remove(&call.call.request);
+        if self.call_by_request.get(&call.call.request) == Some(&id) {
+            self.call_by_request.remove(&call.call.request);
         }
         if call.reserved {
             self.rights.release_local(&call.account, &call.budget, call.bound);
--- a/crates/router-core/src/settlement.rs
+++ b/crates/router-core/src/settlement.rs
@@ -1,4 +1,4 @@
-//! Billing what a request used, once, and letting the answer's end go.
+//! Settlement: bills the usage of a request once and then releases the end of its response.
 
 use crate::call::{CallId, CallState, Stage, Target};
 use crate::deferred::DeferredAction;
@@ -11,23 +11,23 @@
 use stackpost_table::ServiceKind;
 use stackpost_types::*;
 
-/// Longest wait for the backup to hold a bill before the caller is told that it is unconfirmed.
+/// Maximum wait for the backup to acknowledge a bill before the call is refused as unconfirmed.
 const SETTLE_TIMEOUT: Millis = Millis(10_000);
-/// Time between two questions to a back end about a dead router's request.
+/// Time between two usage queries to a back end for the same request of a crashed router.
 const USAGE_QUERY_INTERVAL: Millis = Millis(500);
-/// Questions asked before the reserved amount is billed.
+/// Maximum number of usage queries before the reserved amount is billed.
 const MAX_USAGE_QUERIES: u32 = 4;
-/// First status that says that a plain service failed; such an answer costs nothing.
+/// Lowest HTTP status of a server error. A plain service's response from here up costs nothing.
 const FIRST_SERVER_ERROR: u16 = 500;
 
-/// A question to a back end about a request whose router died.
+/// Usage queries sent so far for a request whose router has crashed.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct UsageQueryState {
-    asked: u32,
-    asked_at: Timestamp,
+    attempts: u32,
+    requested_at: Timestamp,
 }
 
-/// An amount and how it was found.
+/// An amount to bill and how it was determined.
 struct Charge {
     tokens: Tokens,
     kind: BillKind,
@@ -59,21 +59,22 @@
             );
             self.warn(text);
         }
-        let kept = keyed.then_some(StoredAnswer { billed: charge.tokens, ..answer });
-        self.settle(id, charge, kept);
+        let stored_answer = keyed.then_some(StoredAnswer { billed: charge.tokens, ..answer });
+        self.settle(id, charge, stored_answer);
     }
 
-    /// A back end's error answer before any output: nothing is billed, the answer is passed on.
+    /// Settles a back end's error response before any output: nothing is billed, and the response
+    /// is forwarded.
     pub(crate) fn settle_rejected(&mut self, id: CallId, answer: StoredAnswer) {
         let Some(call) = self.calls.get(&id) else {
             return;
         };
         let (account, request) = (call.account.clone(), call.call.request);
-        let keep = call.is_keyed() && !call.repeatable;
+        let keep_answer = call.is_keyed() && !call.repeatable;
         if let Some(call) = self.calls.get_mut(&id) {
             call.answer = Some(answer.clone());
         }
-        if keep {
+        if keep_answer {
             self.settle(
                 id,
                 Charge { tokens: Tokens::ZERO, kind: BillKind::Reported },
@@ -84,11 +85,12 @@
         self.set_settling(id);
         let action = DeferredAction::Finish(id, Tokens::ZERO);
         self.record_and_defer(&account, Record::Release { request }, action);
-        self.reserve_for_waiting_of(id);
+        self.reserve_for_budget_of(id);
     }
 
-    /// The answer broke off for good. What the caller got is billed; for a request that may not
-    /// be repeated the whole bound is, since it may have done all of its work.
+    /// Settles a response that was interrupted and is not retried. The tokens sent to the caller
+    /// are billed; for a non-idempotent request the whole bound is billed, since it may have run
+    /// to its end.
     pub(crate) fn settle_incomplete(&mut self, id: CallId, counted: Usage, detail: String) {
         let Some(call) = self.calls.get(&id) else {
             return;
@@ -106,7 +108,7 @@
         let record = Record::Settle { request, tokens, kind, at, answer };
         self.retain_answer(&account, request);
         self.record_bill(&account, record, Some(DeferredAction::Refuse(id, refusal)));
-        self.reserve_for_waiting_of(id);
+        self.reserve_for_budget_of(id);
     }
 
     pub(crate) fn settle_cancelled(&mut self, id: CallId, counted: Usage) {
@@ -130,15 +132,15 @@
         }
         let at = self.wall;
         if self.config.defects.bill_twice {
-            self.bill_again(&account, request, tokens);
+            self.inject_double_bill(&account, request, tokens);
         }
         let record = Record::Settle { request, tokens, kind, at, answer };
         self.record_bill(&account, record, Some(DeferredAction::Finish(id, tokens)));
-        self.reserve_for_waiting_of(id);
+        self.reserve_for_budget_of(id);
     }
 
-    /// The deliberate fault `bill_twice`.
-    fn bill_again(&mut self, account: &AccountId, request: RequestId, tokens: Tokens) {
+    /// Injects the fault `bill_twice`.
+    fn inject_double_bill(&mut self, account: &AccountId, request: RequestId, tokens: Tokens) {
         let Some(intent) = self
             .owned
             .get(account)
@@ -157,13 +159,13 @@
         self.set_stage(id, Stage::Settling { since });
     }
 
-    fn reserve_for_waiting_of(&mut self, id: CallId) {
+    fn reserve_for_budget_of(&mut self, id: CallId) {
         if let Some(budget) = self.calls.get(&id).map(|call| call.budget.clone()) {
             self.reserve_for_waiting(&budget);
         }
     }
 
-    /// The bill stands on the backup: the end of the answer may go out.
+    /// The backup has acknowledged the bill: sends the end of the response.
     pub(crate) fn finish(&mut self, id: CallId, billed: Tokens) {
         self.trace_call_step(id, TraceStep::Finished);
         let Some(call) = self.remove_call(id) else {
@@ -179,7 +181,7 @@
         let overdue: Vec<CallId> = self
             .calls
             .iter()
-            .filter(|(_, call)| self.settles_too_long(call))
+            .filter(|(_, call)| self.settlement_timed_out(call))
             .map(|(id, _)| *id)
             .collect();
         for id in overdue {
@@ -188,11 +190,11 @@
         }
     }
 
-    fn settles_too_long(&self, call: &CallState) -> bool {
+    fn settlement_timed_out(&self, call: &CallState) -> bool {
         matches!(call.stage, Stage::Settling { since } if self.now.since(since) > SETTLE_TIMEOUT)
     }
 
-    /// Asks back ends what the requests of a dead router used.
+    /// Queries back ends for the usage of a crashed router's requests.
     pub(crate) fn tick_usage_queries(&mut self) {
         let now = self.now;
         for (account, request) in self.orphaned_intents() {
@@ -200,14 +202,14 @@
             let query = self
                 .usage_queries
                 .entry(key)
-                .or_insert(UsageQueryState { asked: 0, asked_at: Timestamp(0) });
-            let due = query.asked == 0 || now.since(query.asked_at) >= USAGE_QUERY_INTERVAL;
+                .or_insert(UsageQueryState { attempts: 0, requested_at: Timestamp(0) });
+            let due = query.attempts == 0 || now.since(query.requested_at) >= USAGE_QUERY_INTERVAL;
             if !due {
                 continue;
             }
-            query.asked += 1;
-            query.asked_at = now;
-            if query.asked > MAX_USAGE_QUERIES || !self.can_tell_usage(&account, &request) {
+            query.attempts += 1;
+            query.requested_at = now;
+            if query.attempts > MAX_USAGE_QUERIES || !self.can_report_usage(&account, &request) {
                 self.settle_orphan(&account, request, None);
             } else {
                 self.query_usage(&account, request);
@@ -215,8 +217,8 @@
         }
     }
 
-    /// Intents in accounts that were taken over. Those that may be repeated under their key wait
-    /// for the retry.
+    /// Intents in adopted accounts. Those of idempotent requests with a key are left out: they wait
+    /// for the caller's retry.
     fn orphaned_intents(&self) -> Vec<(AccountId, RequestId)> {
         let adopted = self.owned.iter().filter(|(id, _)| **id != self.main && **id != self.solo);
         adopted
@@ -229,12 +231,12 @@
             .collect()
     }
 
-    /// Only engines keep count of what a request used; a plain service would take the question for
-    /// a call of its own, and its price is known.
-    fn can_tell_usage(&self, account: &AccountId, request: &RequestId) -> bool {
+    /// Only engines report the usage of a request. A plain service would treat the query as a call,
+    /// and the cost of its requests is fixed.
+    fn can_report_usage(&self, account: &AccountId, request: &RequestId) -> bool {
         let intent = self.owned.get(account).and_then(|owned| owned.state().intents().get(request));
         let back_end = intent.and_then(|intent| self.balancer.get(&intent.back_end));
-        let service = back_end.and_then(|known| self.directory.service(&known.row.service));
+        let service = back_end.and_then(|state| self.directory.service(&state.row.service));
         service.is_some_and(|row| row.kind == ServiceKind::Model)
     }
 
@@ -245,10 +247,10 @@
             return;
         };
         let back_end = intent.back_end.clone();
-        let Some(known) = self.balancer.get(&back_end) else {
+        let Some(state) = self.balancer.get(&back_end) else {
             return;
         };
-        let address = known.row.address;
+        let address = state.row.address;
         let account = account.clone();
         self.effects.push(Effect::QueryUsage { account, request, back_end, address });
     }
@@ -287,15 +289,15 @@
     }
 }
 
-/// What an answer costs: the back end's report, but never less than was seen and never more than
-/// was reserved.
+/// Cost of a response: the usage that the back end reported, but at least the counted completion
+/// tokens and at most the reserved amount.
 fn charge_for_answer(bound: Tokens, reported: Option<Usage>, counted: Usage) -> Charge {
-    let seen = Tokens(counted.completion_tokens);
+    let received = Tokens(counted.completion_tokens);
     let (tokens, kind) = match reported {
-        Some(usage) if Tokens(usage.completion_tokens) >= seen => {
+        Some(usage) if Tokens(usage.completion_tokens) >= received => {
             (usage.total(), BillKind::Reported)
         }
-        Some(usage) => (Tokens(usage.prompt_tokens) + seen, BillKind::Counted),
+        Some(usage) => (Tokens(usage.prompt_tokens) + received, BillKind::Counted),
         None => (counted.total(), BillKind::Counted),
     };
     if tokens > bound {
--- a/crates/router-core/src/trace.rs
+++ b/crates/router-core/src/trace.rs
@@ -1,4 +1,4 @@
-//! What happened to a request and why, for `explain`.
+//! Traces of requests: the steps of each request and their reasons, for `explain`.
 
 use crate::refusal::Refusal;
 use serde::{Deserialize, Serialize};
@@ -8,30 +8,69 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
 
-/// Requests whose traces are kept.
-const KEPT_TRACES: usize = 2_000;
+/// Maximum number of stored traces.
+const MAX_TRACES: usize = 2_000;
 
-/// One step of a request.
+/// One step in the processing of a request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[allow(missing_docs)]
 pub enum TraceStep {
-    Admitted { tenant: TenantName, budget: BudgetName, service: ServiceName, bound: Tokens },
-    KeyAsked { keeper: NodeId },
+    Admitted {
+        tenant: TenantName,
+        budget: BudgetName,
+        service: ServiceName,
+        bound: Tokens,
+    },
+    KeyAsked {
+        keeper: NodeId,
+    },
     KeyGranted,
-    KeyHeld { request: RequestId, account: AccountId },
-    RightsWanted { available: Tokens, bound: Tokens },
-    RightsAsked { account: AccountId, need: Tokens },
-    Reserved { account: AccountId, bound: Tokens },
-    Waiting { reason: String },
-    Chosen { candidates: Vec<Candidate> },
-    Dispatched { back_end: BackEndName, number: u32 },
-    AttemptFailed { number: u32, reason: String },
+    KeyHeld {
+        request: RequestId,
+        account: AccountId,
+    },
+    RightsWanted {
+        available: Tokens,
+        bound: Tokens,
+    },
+    RightsAsked {
+        account: AccountId,
+        need: Tokens,
+    },
+    Reserved {
+        account: AccountId,
+        bound: Tokens,
+    },
+    Waiting {
+        reason: String,
+    },
+    Chosen {
+        candidates: Vec<Candidate>,
+    },
+    Dispatched {
+        back_end: BackEndName,
+        number: u32,
+    },
+    AttemptFailed {
+        number: u32,
+        reason: String,
+    },
     CallerGone,
-    Billed { tokens: Tokens, kind: BillKind },
+    Billed {
+        tokens: Tokens,
+        kind: BillKind,
+    },
     Finished,
-    Replayed { request: RequestId },
+    Replayed {
+        request: RequestId,
+    },
     Refused(Refusal),
-    RestAsked { back_end: BackEndName, rest: Millis },
+    #[serde(rename = "RestAsked")]
+    BackoffRequested {
+        back_end: BackEndName,
+        #[serde(rename = "rest")]
+        backoff: Millis,
+    },
 }
 
 impl fmt::Display for TraceStep {
@@ -63,8 +102,8 @@
             Self::AttemptFailed { number, reason } => {
                 write!(formatter, "attempt {number} failed: {reason}")
             }
-            Self::RestAsked { back_end, rest } => {
-                write!(formatter, "{back_end} wants no request for {} ms", rest.0)
+            Self::BackoffRequested { back_end, backoff } => {
+                write!(formatter, "{back_end} wants no request for {} ms", backoff.0)
             }
             Self::CallerGone => write!(formatter, "caller went away"),
             Self::Billed { tokens, kind } => write!(formatter, "billed {tokens} ({kind:?})"),
@@ -104,7 +143,7 @@
 pub struct Trace {
     /// The request.
     pub request: RequestId,
-    /// When each step was taken, by the router's monotonic clock, and what it was.
+    /// The steps, each with its time on the router's monotonic clock.
     pub steps: Vec<(Timestamp, TraceStep)>,
 }
 
@@ -124,7 +163,7 @@
         if let Some(trace) = self.by_request.get_mut(&request) {
             trace.steps.push((now, step));
         }
-        if self.order.len() > KEPT_TRACES
+        if self.order.len() > MAX_TRACES
             && let Some(oldest) = self.order.pop_front()
         {
             self.by_request.remove(&oldest);
--- a/crates/router-core/src/transfers.rs
+++ b/crates/router-core/src/transfers.rs
@@ -1,4 +1,5 @@
-//! Rights on their way between accounts: transfers, levelling, recalls and the solo slice.
+//! Movement of rights between accounts: transfers, rebalancing, recalls and the share of the
+//! unmirrored (solo) account.
 
 use crate::deferred::DeferredAction;
 use crate::router::Router;
@@ -9,18 +10,18 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Time after which an unacknowledged transfer is sent again.
-const RESEND_AFTER: Millis = Millis(300);
-/// Levelling intervals after which a report is no longer believed.
+const TRANSFER_RESEND_INTERVAL: Millis = Millis(300);
+/// Rebalancing intervals after which a report counts as stale.
 const STALE_INTERVALS: u64 = 5;
 
-/// Levelling intervals after which a home account is told that nothing has changed.
+/// Rebalancing intervals after which an empty report is sent as a keep-alive.
 const KEEPALIVE_INTERVALS: u64 = 3;
-/// Levelling intervals after which an unchanged row is told again, in case it was lost.
+/// Rebalancing intervals after which an unchanged row is sent again, in case it was lost.
 const REFRESH_INTERVALS: u64 = 30;
-/// Part of the last amount by which a new one must differ to be told.
+/// A row is sent if an amount has changed by more than the last amount divided by this.
 const CHANGE_DIVISOR: u64 = 10;
 
-/// What a home account was told of one budget.
+/// The last report of one budget to the owner of a home account.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ReportedHolding {
     available: Tokens,
@@ -29,32 +30,32 @@
 }
 
 impl ReportedHolding {
-    /// Whether the home account's knowledge is still good enough.
+    /// Whether the report is recent and close enough to the new amounts.
     fn is_current(&self, available: Tokens, demand: Tokens, now: Timestamp, interval: u64) -> bool {
-        let near = |old: Tokens, new: Tokens| {
+        let is_close = |old: Tokens, new: Tokens| {
             let difference = (old - new).max(new - old);
             difference <= old.scaled(1, CHANGE_DIVISOR) && old.is_zero() == new.is_zero()
         };
         let recent = now.since(self.at) < Millis(interval * REFRESH_INTERVALS);
-        recent && near(self.available, available) && near(self.demand, demand)
+        recent && is_close(self.available, available) && is_close(self.demand, demand)
     }
 }
 
-/// What a home account was told, and when it heard from this router last.
+/// The last reports to the owner of a home account, and when the last one was sent.
 #[derive(Debug, Default)]
 pub(crate) struct ReportedHoldings {
     rows: BTreeMap<BudgetName, ReportedHolding>,
     at: Timestamp,
 }
 
-/// A transfer whose receipt is not confirmed.
+/// A transfer that has not been acknowledged.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct OutgoingTransfer {
     pub total: Tokens,
     pub sent_at: Timestamp,
 }
 
-/// What another account was last known to have.
+/// The last known holding of another account.
 #[derive(Clone, Debug)]
 pub(crate) struct RemoteHolding {
     pub zone: Option<ZoneName>,
@@ -63,8 +64,8 @@
 }
 
 impl Router {
-    /// Moves `amount` out of an account owned here. The receiver gets it once the change stands
-    /// on the giver's backup.
+    /// Moves `amount` out of an account owned by this router. The transfer is sent once the
+    /// sender's backup has acknowledged the change.
     pub(crate) fn transfer_rights(
         &mut self,
         from: &AccountId,
@@ -72,8 +73,8 @@
         budget: &BudgetName,
         amount: Tokens,
     ) {
-        let already = self.total_sent(from, to, budget).unwrap_or_default();
-        let total = already + amount;
+        let sent_before = self.total_sent(from, to, budget).unwrap_or_default();
+        let total = sent_before + amount;
         let record = Record::Sent { budget: budget.clone(), to: to.clone(), total };
         let action =
             DeferredAction::Transfer { from: from.clone(), to: to.clone(), budget: budget.clone() };
@@ -83,16 +84,16 @@
     }
 
     pub(crate) fn on_transfer(&mut self, from: NodeId, transfer: Transfer) {
-        let Transfer { budget, from: giver, to, total } = transfer;
+        let Transfer { budget, from: sender, to, total } = transfer;
         let Some(owned) = self.owned.get(&to) else {
             return;
         };
-        let known = owned.state().holding(&budget).map(|holding| holding.received_from(&giver));
+        let recorded = owned.state().holding(&budget).map(|holding| holding.received_from(&sender));
         let ack =
-            TransferAck { budget: budget.clone(), from: giver.clone(), to: to.clone(), total };
+            TransferAck { budget: budget.clone(), from: sender.clone(), to: to.clone(), total };
         let action = DeferredAction::TransferAck { to: from, ack };
-        if total > known.unwrap_or_default() {
-            let record = Record::Received { budget: budget.clone(), from: giver, total };
+        if total > recorded.unwrap_or_default() {
+            let record = Record::Received { budget: budget.clone(), from: sender, total };
             self.record_and_defer(&to, record, action);
         } else {
             let sequence = owned.sequence();
@@ -116,7 +117,7 @@
             .rights
             .outgoing
             .iter_mut()
-            .filter(|(_, sent)| now.since(sent.sent_at) >= RESEND_AFTER)
+            .filter(|(_, sent)| now.since(sent.sent_at) >= TRANSFER_RESEND_INTERVAL)
             .map(|(key, sent)| {
                 sent.sent_at = now;
                 key.clone()
@@ -126,7 +127,7 @@
             let Some(owned) = self.owned.get(&from) else {
                 continue;
             };
-            // The newest total may only be told once it stands on the backup.
+            // The newest total may only be sent once the backup has acknowledged it.
             let sequence = owned.sequence();
             self.defer(
                 &from,
@@ -136,8 +137,8 @@
         }
     }
 
-    /// An account taken over: every total it has sent is told again, since the former owner may
-    /// have died before it could.
+    /// Sends every transfer total of an adopted account again, since the former owner may have
+    /// crashed before sending it.
     pub(crate) fn resend_all_transfers(&mut self, account: &AccountId) {
         let Some(owned) = self.owned.get(account) else {
             return;
@@ -177,7 +178,7 @@
         }
     }
 
-    /// A budget's issue has changed: takes in what was issued, gives back what is recalled.
+    /// Handles a changed issue row of a budget: records issued rights and returns recalled ones.
     pub(crate) fn on_issue_row(&mut self, budget: &BudgetName) {
         let Some(issue) = self.directory.issue(budget) else {
             return;
@@ -189,16 +190,16 @@
             .map(|(account, total)| (account.clone(), *total))
             .collect();
         for (account, total) in issued {
-            let known = self.owned[&account].state().holding(budget).map(Holding::issued);
-            if total > known.unwrap_or_default() {
+            let recorded = self.owned[&account].state().holding(budget).map(Holding::issued);
+            if total > recorded.unwrap_or_default() {
                 self.record(&account, Record::Issued { budget: budget.clone(), total });
             }
         }
-        self.give_back_recalled(budget);
+        self.return_recalled_rights(budget);
         self.reserve_for_waiting(budget);
     }
 
-    fn give_back_recalled(&mut self, budget: &BudgetName) {
+    fn return_recalled_rights(&mut self, budget: &BudgetName) {
         let Some(issue) = self.directory.issue(budget) else {
             return;
         };
@@ -208,10 +209,10 @@
         let reported = issue.returned.get(&self.main).copied().unwrap_or_default();
         let recall = issue.recall;
         let holding = self.owned[&self.main].state().holding(budget);
-        let given = holding.map(Holding::returned).unwrap_or_default();
+        let returned = holding.map(Holding::returned).unwrap_or_default();
         let account = self.main.clone();
-        if given > reported {
-            // The last return has not arrived yet: tell it again rather than give more.
+        if returned > reported {
+            // The last return has not been confirmed: send it again and return no more.
             let sequence = self.owned[&account].sequence();
             let action =
                 DeferredAction::Return { account: account.clone(), budget: budget.clone() };
@@ -223,7 +224,7 @@
         if amount.is_zero() {
             return;
         }
-        let record = Record::Returned { budget: budget.clone(), total: given + amount };
+        let record = Record::Returned { budget: budget.clone(), total: returned + amount };
         let action = DeferredAction::Return { account: account.clone(), budget: budget.clone() };
         self.record_and_defer(&account, record, action);
     }
@@ -258,28 +259,29 @@
         for budget in &budgets {
             self.fill_solo(budget);
             self.rebalance_zones(budget);
-            self.give_back_recalled(budget);
+            self.return_recalled_rights(budget);
         }
     }
 
-    /// Budgets of which something is held here or wanted here.
+    /// Budgets with available rights or demand at this router.
     fn active_budgets(&self) -> BTreeSet<BudgetName> {
         let held = self.owned.get(&self.main).into_iter().flat_map(|main| {
             let holdings = main.state().holdings().iter();
             holdings.filter(|(_, held)| !held.available().is_zero()).map(|(name, _)| name.clone())
         });
-        let wanted = self
+        let demanded = self
             .rights
             .demand
             .iter()
             .filter(|(_, rate)| !rate.per_second().is_zero())
             .map(|(name, _)| name.clone());
-        held.chain(wanted).collect()
+        held.chain(demanded).collect()
     }
 
-    /// Tells the accounts to which a budget was issued what is held here. They are the ones that
-    /// others ask, and they level among zones. Only what has changed is told, and now and then
-    /// everything again, so that the cost follows the activity and not the number of budgets.
+    /// Reports this router's holdings and demand to the accounts to which a budget was issued:
+    /// they receive the pulls of other routers and rebalance rights between zones. Only changed
+    /// rows are sent, and all rows again at long intervals, so that the cost follows the activity
+    /// and not the number of budgets.
     fn report_holdings(&mut self, budgets: &BTreeSet<BudgetName>) {
         let now = self.now;
         let interval = self.directory.policy().level_interval_ms;
@@ -290,8 +292,10 @@
             let demand = self.demand_here(budget);
             for owner in self.home_owners(budget) {
                 let reported = self.rights.reported.entry(owner.clone()).or_default();
-                let known = reported.rows.get(budget);
-                if known.is_some_and(|known| known.is_current(available, demand, now, interval)) {
+                let recorded = reported.rows.get(budget);
+                if recorded
+                    .is_some_and(|recorded| recorded.is_current(available, demand, now, interval))
+                {
                     continue;
                 }
                 reported
@@ -313,7 +317,8 @@
         }
     }
 
-    /// Home accounts that have heard nothing for a while are told that what they know still holds.
+    /// Adds an empty report, as a keep-alive, for owners of home accounts that were sent none for
+    /// some time.
     fn add_keepalives(&mut self, by_owner: &mut BTreeMap<NodeId, Vec<HoldingRow>>) {
         let timeout = Millis(self.directory.policy().level_interval_ms * KEEPALIVE_INTERVALS);
         let now = self.now;
@@ -337,21 +342,22 @@
         owners.filter(|owner| **owner != self.config.node).cloned().collect()
     }
 
-    /// Takes the unmirrored slice of a budget back, if there is a backup to mirror it to. Both
-    /// accounts belong to this router, so the transfer needs no message; the giver records first.
+    /// Moves the unmirrored account's rights of a budget back to the main account, if there is a
+    /// backup to mirror them to. Both accounts belong to this router, so the transfer needs no
+    /// message; the sending account records it first.
     pub(crate) fn reclaim_solo(&mut self, budget: &BudgetName) {
         let free = self.unreserved_rights(&self.solo, budget);
         if free.is_zero() || self.is_solo() || !self.has_backup() {
             return;
         }
         let (main, solo) = (self.main.clone(), self.solo.clone());
-        let already = self.total_sent(&solo, &main, budget).unwrap_or_default();
-        let total = already + free;
+        let sent_before = self.total_sent(&solo, &main, budget).unwrap_or_default();
+        let total = sent_before + free;
         self.record(&solo, Record::Sent { budget: budget.clone(), to: main.clone(), total });
         self.record(&main, Record::Received { budget: budget.clone(), from: solo, total });
     }
 
-    /// Keeps the unmirrored account supplied.
+    /// Refills the unmirrored account from the main account once it falls below half its target.
     fn fill_solo(&mut self, budget: &BudgetName) {
         if self.is_solo() || !self.has_backup() {
             return;
@@ -359,14 +365,14 @@
         let mirrored = self.unreserved_rights(&self.main, budget);
         let solo = self.unreserved_rights(&self.solo, budget);
         let target = policy::solo_target(self.directory.policy(), mirrored + solo);
-        let missing = (target - solo).min(mirrored);
-        if solo < target.scaled(1, 2) && !missing.is_zero() {
+        let deficit = (target - solo).min(mirrored);
+        if solo < target.scaled(1, 2) && !deficit.is_zero() {
             let (main, solo) = (self.main.clone(), self.solo.clone());
-            self.transfer_rights(&main, &solo, budget, missing);
+            self.transfer_rights(&main, &solo, budget, deficit);
         }
     }
 
-    /// Pushes rights to zones that have too few, if this router speaks for its zone.
+    /// Sends rights to zones that have too few, if this router owns the home account of its zone.
     fn rebalance_zones(&mut self, budget: &BudgetName) {
         let Some(shares) = self.zone_shares(budget) else {
             return;
@@ -383,19 +389,20 @@
             let Some(account) = shares[zone].1.clone() else {
                 continue;
             };
-            let wanted = policy::rebalance_amount(self.directory.policy(), &list, own, other);
-            let amount = wanted.min(self.unreserved_rights(&self.main, budget));
+            let excess = policy::rebalance_amount(self.directory.policy(), &list, own, other);
+            let amount = excess.min(self.unreserved_rights(&self.main, budget));
             if !amount.is_zero() {
                 let main = self.main.clone();
                 self.transfer_rights(&main, &account, budget, amount);
-                self.expect_arrival(&account, budget, amount);
+                self.credit_sent_rights(&account, budget, amount);
             }
         }
     }
 
-    /// Counts rights that were just sent as held by the receiver. Until its own report says so,
-    /// they would be sent again and again, also into a cut that nobody has noticed yet.
-    fn expect_arrival(&mut self, account: &AccountId, budget: &BudgetName, amount: Tokens) {
+    /// Counts rights that were just sent as available at the receiver. Otherwise they would be sent
+    /// again at each interval until the receiver reports them, also into a partition that has not
+    /// been detected yet.
+    fn credit_sent_rights(&mut self, account: &AccountId, budget: &BudgetName, amount: Tokens) {
         let held =
             self.rights.remote_holdings.get_mut(budget).and_then(|held| held.get_mut(account));
         if let Some(held) = held {
@@ -403,29 +410,29 @@
         }
     }
 
-    /// The zones whose reports are fresh, each with its home account, if this router's account is the
-    /// home account of its own zone.
+    /// The zones with recent reports, each with its home account; `None` unless this router owns
+    /// the home account of its own zone.
     fn zone_shares(
         &self,
         budget: &BudgetName,
     ) -> Option<BTreeMap<ZoneName, (ZoneShare, Option<AccountId>)>> {
         let issue = self.directory.issue(budget)?;
-        let home_of = |zone: &ZoneName| {
+        let home_account_of = |zone: &ZoneName| {
             let live = |account: &&AccountId| {
                 self.directory.account(account).is_some_and(|row| row.zone == *zone)
                     && self.directory.owner(account).is_some()
             };
             issue.issued.keys().find(live)
         };
-        let own_home = home_of(&self.config.zone)?;
+        let own_home = home_account_of(&self.config.zone)?;
         if !self.owned.contains_key(own_home) {
             return None;
         }
-        let horizon = Millis(self.directory.policy().level_interval_ms * STALE_INTERVALS);
+        let staleness_limit = Millis(self.directory.policy().level_interval_ms * STALE_INTERVALS);
         let mut shares: BTreeMap<ZoneName, (ZoneShare, Option<AccountId>)> = BTreeMap::new();
         let mut add = |zone: &ZoneName, available: Tokens, demand: Tokens| {
             let weight = self.directory.zone_weight(zone);
-            let home = home_of(zone).cloned();
+            let home = home_account_of(zone).cloned();
             let empty = ZoneShare { available: Tokens::ZERO, demand: Tokens::ZERO, weight };
             let (share, _) = shares.entry(zone.clone()).or_insert((empty, home));
             share.available += available;
@@ -436,15 +443,17 @@
             self.unreserved_rights(&self.main, budget),
             self.demand_here(budget),
         );
-        // A zone counts as long as its home account is heard. Its other accounts report at other times: if
-        // each were dropped for itself, a zone that is being cut off would look empty, and be
-        // filled, as soon as its home account is dropped and a small account is not.
-        let fresh = |zone: &ZoneName| {
-            let heard = home_of(zone).and_then(|home| self.rights.last_report_at.get(home));
-            heard.is_some_and(|at| self.now.since(*at) <= horizon)
+        // A zone counts while its home account's reports are recent. Its other accounts report at
+        // other times: if each report expired separately, a zone that is being partitioned would
+        // look empty, and be sent rights, once its home account has expired and a small account
+        // has not.
+        let is_fresh = |zone: &ZoneName| {
+            let last_report =
+                home_account_of(zone).and_then(|home| self.rights.last_report_at.get(home));
+            last_report.is_some_and(|at| self.now.since(*at) <= staleness_limit)
         };
         for held in self.rights.remote_holdings.get(budget)?.values() {
-            if let Some(zone) = held.zone.as_ref().filter(|zone| fresh(zone)) {
+            if let Some(zone) = held.zone.as_ref().filter(|zone| is_fresh(zone)) {
                 add(zone, held.available, held.demand);
             }
         }
