--- a/crates/router/src/admin.rs
+++ b/crates/router/src/admin.rs
@@ -1,4 +1,4 @@
-//! The operators' and the platform's side of a router: probes, metrics and explanations.
+//! Admin interface for operators and the platform: probes, metrics, status and traces.
 
 use crate::server::RouterServer;
 use serde::{Deserialize, Serialize};
@@ -7,25 +7,25 @@
 use stackpost_types::{AccountId, BudgetName, RequestId, Tokens};
 use std::sync::Arc;
 
-/// Decisions listed when no number is given.
-const DEFAULT_COUNT: usize = 20;
+/// Number of traces listed if the query has no `count`.
+const DEFAULT_TRACE_COUNT: usize = 20;
 
-/// What an account has of a budget.
+/// An account's holding of a budget.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct HoldingView {
     /// The account.
     pub account: AccountId,
     /// The budget.
     pub budget: BudgetName,
-    /// May still be reserved.
+    /// Tokens that can still be reserved.
     pub available: Tokens,
-    /// Reserved by requests that are running.
+    /// Tokens reserved by running requests.
     pub reserved: Tokens,
-    /// Billed.
+    /// Tokens billed.
     pub spent: Tokens,
 }
 
-/// Answers one request.
+/// Handles one admin request.
 pub async fn handle(server: Arc<RouterServer>, exchange: Exchange) -> Answer {
     let query = exchange.uri.query().unwrap_or_default().to_string();
     match exchange.uri.path() {
@@ -38,7 +38,7 @@
         "/v1/decisions" => {
             let count = query_parameter(&query, "count").and_then(|text| text.parse().ok());
             let traces =
-                server.inspect(|router| router.newest_traces(count.unwrap_or(DEFAULT_COUNT)));
+                server.inspect(|router| router.newest_traces(count.unwrap_or(DEFAULT_TRACE_COUNT)));
             Answer::json(StatusCode::OK, &traces)
         }
         path => Answer::json(StatusCode::NOT_FOUND, &json!({ "error": format!("no {path}") })),
@@ -49,8 +49,9 @@
     if server.inspect(|router| router.is_ready()) {
         return Answer::text(StatusCode::OK, "ready\n");
     }
-    let why = if server.is_draining() { "draining" } else { "no configuration or no backup yet" };
-    Answer::text(StatusCode::SERVICE_UNAVAILABLE, format!("not ready: {why}\n"))
+    let reason =
+        if server.is_draining() { "draining" } else { "no configuration or no backup yet" };
+    Answer::text(StatusCode::SERVICE_UNAVAILABLE, format!("not ready: {reason}\n"))
 }
 
 fn metrics(server: &RouterServer) -> Answer {
@@ -63,7 +64,7 @@
 
 fn holdings(server: &RouterServer) -> Vec<HoldingView> {
     server.inspect(|router| {
-        let of_account = |account: &stackpost_ledger::OwnedAccount| -> Vec<HoldingView> {
+        let views_of_account = |account: &stackpost_ledger::OwnedAccount| -> Vec<HoldingView> {
             let holdings = account.state().holdings().iter();
             holdings
                 .map(|(budget, holding)| HoldingView {
@@ -75,7 +76,7 @@
                 })
                 .collect()
         };
-        router.accounts().flat_map(of_account).collect()
+        router.accounts().flat_map(views_of_account).collect()
     })
 }
 
--- a/crates/router/src/api.rs
+++ b/crates/router/src/api.rs
@@ -1,4 +1,4 @@
-//! The callers' side: one handler for every path.
+//! The callers' interface: one handler for all paths.
 
 use crate::chat::ChatRequest;
 use crate::envelope::RequestError;
@@ -17,34 +17,34 @@
 
 const CHAT_PATH: &str = "/v1/chat/completions";
 const MODELS_PATH: &str = "/v1/models";
-/// Longest idempotency key, in bytes.
+/// Maximum length of an idempotency key.
 const MAX_KEY_BYTES: usize = 256;
-/// A plain body up to this size is held here, so that it can be sent again.
-const HELD_BODY_BYTES: usize = 64 * 1024;
-/// Pieces of a longer body that may wait for the back end.
-const BODY_PIECES_AHEAD: usize = 16;
+/// Maximum size of a plain body that is buffered, so that it can be sent again in a retry.
+const MAX_BUFFERED_BODY_BYTES: usize = 64 * 1024;
+/// Maximum number of chunks of a streamed body that wait for the back end.
+const BODY_CHANNEL_CAPACITY: usize = 16;
 
-/// What a caller sent, ready for the state machine.
-struct Incoming {
+/// A caller's request, parsed for the state machine.
+struct ParsedRequest {
     target: Target,
     payload_source: PayloadSource,
     stream: bool,
     priority: i32,
     fingerprint: Digest,
-    /// The body passes through as it comes, so the request can't be sent twice.
+    /// The body is streamed without being buffered, so the request can't be sent twice.
     single_use: bool,
-    /// Feeds a streamed body to the back end.
-    feed: Option<Feed>,
+    /// The rest of a streamed body, to be forwarded to the back end.
+    body_feed: Option<BodyFeed>,
 }
 
-struct Feed {
+struct BodyFeed {
     body: RequestStream,
     first: Vec<Bytes>,
-    pieces: mpsc::Sender<Result<Bytes, BodyAborted>>,
+    chunks: mpsc::Sender<Result<Bytes, BodyAborted>>,
     limit: usize,
 }
 
-/// Answers one request.
+/// Handles one request of a caller.
 pub async fn handle(server: Arc<RouterServer>, exchange: Exchange) -> Answer {
     let arrived_at = Instant::now();
     let request = RequestId(uuid::Uuid::new_v4().as_u128());
@@ -58,9 +58,9 @@
 }
 
 fn list_models(server: &RouterServer, exchange: &Exchange, request: RequestId) -> Answer {
-    let known = bearer_key(&exchange.headers)
+    let authorized = bearer_key(&exchange.headers)
         .is_some_and(|hash| server.inspect(|router| router.knows_key(&hash)));
-    if !known {
+    if !authorized {
         let error = RequestError {
             status: StatusCode::UNAUTHORIZED,
             code: "wrong_key",
@@ -86,8 +86,8 @@
     let Exchange { method, uri, headers, body, watch, .. } = exchange;
     let key_hash = bearer_key(&headers);
     let idempotency_key = idempotency_key(&headers)?;
-    let asked_once = header_text(&headers, "x-stackpost-repeatable") == Some("false");
-    let incoming = if uri.path() == CHAT_PATH {
+    let marked_not_repeatable = header_text(&headers, "x-stackpost-repeatable") == Some("false");
+    let parsed = if uri.path() == CHAT_PATH {
         read_chat(&server, &method, body).await?
     } else {
         let path = uri.path_and_query().map_or("/", |path| path.as_str()).to_string();
@@ -100,8 +100,8 @@
         server: server.clone(),
         call,
         request,
-        payload_source: incoming.payload_source,
-        stream: incoming.stream,
+        payload_source: parsed.payload_source,
+        stream: parsed.stream,
         watch,
         signals,
         reply,
@@ -112,55 +112,58 @@
         id: call,
         request,
         key_hash,
-        target: incoming.target,
+        target: parsed.target,
         idempotency_key,
-        not_repeatable: asked_once || incoming.single_use,
-        fingerprint: incoming.fingerprint,
-        priority: incoming.priority,
+        not_repeatable: marked_not_repeatable || parsed.single_use,
+        fingerprint: parsed.fingerprint,
+        priority: parsed.priority,
     })));
     let answered = async {
         answer.await.unwrap_or_else(|_| {
-            // The conductor ended without an answer: the caller went away.
+            // The request task ended without a response: the caller has disconnected.
             Answer::text(StatusCode::SERVICE_UNAVAILABLE, "")
         })
     };
-    match incoming.feed {
+    match parsed.body_feed {
         None => Ok(answered.await),
-        Some(feed) => Ok(feed_while(feed, answered).await),
+        Some(body_feed) => Ok(forward_body_until_answered(body_feed, answered).await),
     }
 }
 
-/// Passes a long body on while the answer is awaited.
-async fn feed_while(feed: Feed, answered: impl Future<Output = Answer>) -> Answer {
+/// Forwards a streamed body while waiting for the response.
+async fn forward_body_until_answered(
+    body_feed: BodyFeed,
+    answered: impl Future<Output = Answer>,
+) -> Answer {
     tokio::pin!(answered);
-    let feeding = pass_body_on(feed);
-    tokio::pin!(feeding);
+    let forwarding = forward_body(body_feed);
+    tokio::pin!(forwarding);
     tokio::select! {
         answer = &mut answered => answer,
-        () = &mut feeding => answered.await,
+        () = &mut forwarding => answered.await,
     }
 }
 
-async fn pass_body_on(feed: Feed) {
-    let Feed { mut body, first, pieces, limit } = feed;
+async fn forward_body(body_feed: BodyFeed) {
+    let BodyFeed { mut body, first, chunks, limit } = body_feed;
     let mut length = 0;
-    for piece in first {
-        length += piece.len();
-        if pieces.send(Ok(piece)).await.is_err() {
+    for chunk in first {
+        length += chunk.len();
+        if chunks.send(Ok(chunk)).await.is_err() {
             return;
         }
     }
-    while let Some(piece) = body.next().await {
-        let checked = match piece {
-            Ok(piece) if length + piece.len() <= limit => {
-                length += piece.len();
-                Ok(piece)
+    while let Some(chunk) = body.next().await {
+        let checked = match chunk {
+            Ok(chunk) if length + chunk.len() <= limit => {
+                length += chunk.len();
+                Ok(chunk)
             }
-            // Cut short, so that the back end can't take the body for whole.
+            // Aborts the body, so that the back end can't take it for complete.
             _ => Err(BodyAborted),
         };
-        let over = checked.is_err();
-        if pieces.send(checked).await.is_err() || over {
+        let is_last = checked.is_err();
+        if chunks.send(checked).await.is_err() || is_last {
             return;
         }
     }
@@ -170,7 +173,7 @@
     server: &RouterServer,
     method: &Method,
     mut body: RequestStream,
-) -> Result<Incoming, RequestError> {
+) -> Result<ParsedRequest, RequestError> {
     if method != Method::POST {
         return Err(RequestError {
             status: StatusCode::METHOD_NOT_ALLOWED,
@@ -186,14 +189,14 @@
         .map_err(|_| body_timeout(timeout))?
         .map_err(|error| body_error(error, limit))?;
     let chat = ChatRequest::parse(&bytes)?;
-    Ok(Incoming {
+    Ok(ParsedRequest {
         target: chat.target.clone(),
         stream: chat.stream,
         priority: chat.priority,
         fingerprint: Digest::of(&[CHAT_PATH.as_bytes(), &bytes]),
         payload_source: PayloadSource::Chat(Arc::new(chat)),
         single_use: false,
-        feed: None,
+        body_feed: None,
     })
 }
 
@@ -204,28 +207,28 @@
     headers: HeaderMap,
     mut body: RequestStream,
     keyed: bool,
-) -> Result<Incoming, RequestError> {
+) -> Result<ParsedRequest, RequestError> {
     let limit = server.options().max_body_bytes;
     let timeout = Duration::from_millis(server.options().body_timeout_ms);
-    // A keyed request is compared by its content, so its body has to be here whole.
-    let held_limit = if keyed { limit } else { HELD_BODY_BYTES.min(limit) };
+    // The fingerprint of a keyed request covers its whole body, so the body is buffered.
+    let buffer_limit = if keyed { limit } else { MAX_BUFFERED_BODY_BYTES.min(limit) };
     let mut first = Vec::new();
     let mut length = 0;
-    let whole = loop {
-        let piece =
+    let buffered = loop {
+        let chunk =
             tokio::time::timeout(timeout, body.next()).await.map_err(|_| body_timeout(timeout))?;
-        match piece {
+        match chunk {
             None => break true,
             Some(Err(error)) => return Err(body_error(error, limit)),
-            Some(Ok(piece)) => {
-                length += piece.len();
-                first.push(piece);
+            Some(Ok(chunk)) => {
+                length += chunk.len();
+                first.push(chunk);
             }
         }
-        if length > limit || (keyed && length > held_limit) {
+        if length > limit || (keyed && length > buffer_limit) {
             return Err(body_error(BodyError::TooLarge, limit));
         }
-        if length > held_limit {
+        if length > buffer_limit {
             break false;
         }
     };
@@ -234,25 +237,33 @@
         path: path.split('?').next().unwrap_or_default().to_string(),
     };
     let mut fingerprint_parts: Vec<&[u8]> = vec![method.as_str().as_bytes(), path.as_bytes()];
-    fingerprint_parts.extend(first.iter().map(|piece| piece.as_ref()));
+    fingerprint_parts.extend(first.iter().map(|chunk| chunk.as_ref()));
     let fingerprint = Digest::of(&fingerprint_parts);
-    let (payload_source, feed) = if whole {
+    let (payload_source, body_feed) = if buffered {
         let bytes = Bytes::from(first.concat());
-        (PayloadSource::Plain { method, path, headers, whole: Some(bytes), streamed: None }, None)
+        (
+            PayloadSource::Plain { method, path, headers, buffered: Some(bytes), streamed: None },
+            None,
+        )
     } else {
-        let (pieces, streamed) = mpsc::channel(BODY_PIECES_AHEAD);
-        let payload_source =
-            PayloadSource::Plain { method, path, headers, whole: None, streamed: Some(streamed) };
-        (payload_source, Some(Feed { body, first, pieces, limit }))
+        let (chunks, streamed) = mpsc::channel(BODY_CHANNEL_CAPACITY);
+        let payload_source = PayloadSource::Plain {
+            method,
+            path,
+            headers,
+            buffered: None,
+            streamed: Some(streamed),
+        };
+        (payload_source, Some(BodyFeed { body, first, chunks, limit }))
     };
-    Ok(Incoming {
+    Ok(ParsedRequest {
         target,
         payload_source,
         stream: false,
         priority: 0,
         fingerprint,
-        single_use: !whole,
-        feed,
+        single_use: !buffered,
+        body_feed,
     })
 }
 
--- a/crates/router/src/app.rs
+++ b/crates/router/src/app.rs
@@ -1,4 +1,4 @@
-//! Start and planned stop of the process.
+//! Command line, start and planned stop of the process.
 
 use crate::metrics::Metrics;
 use crate::server::RouterServer;
@@ -15,11 +15,11 @@
 use tokio::signal::unix::{SignalKind, signal};
 
 /// Time between two ticks of the state machine.
-const TICK: Duration = Duration::from_millis(20);
-/// Threads for operators and probes.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
+/// Threads of the admin interface.
 const ADMIN_THREADS: usize = 1;
-/// Pause that lets the last bytes of answers leave before the process ends.
-const LAST_BYTES: Duration = Duration::from_millis(300);
+/// Delay before the process exits, in which the last bytes of responses are sent.
+const FLUSH_DELAY: Duration = Duration::from_millis(300);
 
 fn command() -> Command {
     Command::new("stackpost-router")
@@ -49,8 +49,8 @@
         .after_help("Example:\n  stackpost-router --settings fleet.jsonc --machine marina-1")
 }
 
-/// Runs the process; returns its exit code: 0 after a planned stop, 2 for wrong settings, 1 for
-/// anything else.
+/// Runs the process; returns its exit code: 0 after a planned stop, 2 for invalid settings, 1 for
+/// any other error.
 pub fn run() -> ExitCode {
     let arguments = command().get_matches();
     let (settings, entry) = match read_settings(&arguments) {
@@ -132,7 +132,7 @@
 }
 
 async fn tick(server: Arc<RouterServer>) {
-    let mut interval = tokio::time::interval(TICK);
+    let mut interval = tokio::time::interval(TICK_INTERVAL);
     interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         interval.tick().await;
@@ -140,23 +140,23 @@
     }
 }
 
-/// SIGTERM and SIGINT begin a planned stop: readiness goes down first, then everything in flight
-/// is finished. The server's own stop would cut streams after 30 s, so it is never used.
+/// SIGTERM and SIGINT begin a planned stop: readiness fails first, then requests in flight are
+/// finished. The HTTP server's own shutdown would interrupt streams after 30 s, so it is not used.
 async fn wait_for_stop(server: &Arc<RouterServer>) -> Result<(), PeerError> {
-    let failed = |error: std::io::Error| PeerError::new(Step::Listen, "signals", error);
-    let mut terminate = signal(SignalKind::terminate()).map_err(failed)?;
-    let mut interrupt = signal(SignalKind::interrupt()).map_err(failed)?;
+    let signal_error = |error: std::io::Error| PeerError::new(Step::Listen, "signals", error);
+    let mut terminate = signal(SignalKind::terminate()).map_err(signal_error)?;
+    let mut interrupt = signal(SignalKind::interrupt()).map_err(signal_error)?;
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
     }
-    log::info!("stops: finishes what is in flight");
+    log::info!("stopping: finishing requests in flight");
     server.drain();
     server.drained().await;
-    while server.open_calls() > 0 {
-        tokio::time::sleep(TICK).await;
+    while server.open_call_count() > 0 {
+        tokio::time::sleep(TICK_INTERVAL).await;
     }
-    tokio::time::sleep(LAST_BYTES).await;
+    tokio::time::sleep(FLUSH_DELAY).await;
     log::info!("stopped");
     Ok(())
 }
--- a/crates/router/src/attempt.rs
+++ b/crates/router/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at one back end.
+//! One attempt at one back end: sends the request and reads the response.
 
 use crate::chat::{AnswerPart, ChatRequest};
 use crate::sse::{EventSplitter, event_data};
@@ -16,7 +16,7 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Headers that concern one connection only (RFC 9110, section 7.6.1).
+/// Hop-by-hop headers (RFC 9110, section 7.6.1).
 const HOP_BY_HOP: [&str; 9] = [
     "connection",
     "keep-alive",
@@ -28,30 +28,31 @@
     "upgrade",
     "proxy-connection",
 ];
-/// Largest error answer that is passed on.
+/// Maximum size of an error response that is forwarded.
 const MAX_ERROR_BYTES: usize = 64 * 1024;
-/// Largest answer that is kept for a retry under the same key.
-const MAX_KEPT_BYTES: usize = 1 << 20;
-/// Data of the event that ends a stream.
-const END_MARK: &str = "[DONE]";
+/// Maximum size of a response that is stored for a retry under the same key.
+const MAX_STORED_BYTES: usize = 1 << 20;
+/// Data of the event that ends a streamed chat response.
+const END_OF_STREAM: &str = "[DONE]";
 
-/// What an attempt tells the conductor.
+/// What an attempt reports to its request task.
 #[derive(Debug)]
 pub enum AttemptEvent {
-    /// The answer's head.
+    /// The head of the response.
     Head {
-        /// Its status.
+        /// HTTP status.
         status: StatusCode,
-        /// Its headers, without those that concern one connection only.
+        /// Headers without the hop-by-hop ones.
         headers: HeaderMap,
     },
-    /// A piece that may go out as soon as bytes may flow.
+    /// A chunk of the response, to be sent once the response may start.
     Chunk(Bytes),
-    /// The attempt is over; `held_back` is the end of the answer, which goes out after the bill.
+    /// The attempt has ended; `held_back` is the end of the response, which is sent after the bill
+    /// has been recorded.
     Ended {
         /// How it ended.
         outcome: AttemptOutcome,
-        /// The held-back end.
+        /// The held-back end of the response.
         held_back: Vec<Bytes>,
     },
 }
@@ -75,23 +76,22 @@
 
 /// The body of a call of a plain service.
 pub enum PlainBody {
-    /// It is here whole and may be sent again.
-    Whole(Bytes),
-    /// It is still coming in.
+    /// The complete body; it can be sent again.
+    Buffered(Bytes),
+    /// A body that is still being received.
     Streamed(mpsc::Receiver<Result<Bytes, BodyAborted>>),
 }
 
-/// Limits on a back end's silence.
+/// Maximum times without data from a back end.
 #[derive(Clone, Copy, Debug)]
 pub struct Timeouts {
-    /// Before the answer begins.
+    /// Until the response begins.
     pub first_byte: Duration,
-    /// In the middle of the answer.
+    /// Between two chunks of the response.
     pub chunk: Duration,
 }
 
-/// Runs an attempt and reports it. `delivered` is asked, at a failure, whether bytes have gone to
-/// the caller.
+/// Runs an attempt and reports its progress and its outcome to `events`.
 pub async fn run(
     client: Client,
     dispatch: Dispatch,
@@ -99,12 +99,12 @@
     timeouts: Timeouts,
     events: mpsc::Sender<AttemptEvent>,
 ) {
-    let mut reader = Reader {
+    let mut reader = ResponseReader {
         events,
         timeouts,
-        keep: dispatch.keep_answer.then(Vec::new),
+        stored_body: dispatch.keep_answer.then(Vec::new),
         counted: Usage::default(),
-        pieces_sent: 0,
+        chunks_sent: 0,
     };
     let outcome = match payload {
         Payload::Chat(chat) => run_chat(&client, &dispatch, &chat, &mut reader).await,
@@ -114,56 +114,57 @@
         }
     };
     let (outcome, held_back) = match outcome {
-        Ok(Ended { outcome, held_back }) => (outcome, held_back),
+        Ok(CompletedAttempt { outcome, held_back }) => (outcome, held_back),
         Err(outcome) => (outcome, Vec::new()),
     };
-    // The conductor may have gone; then nobody needs the outcome.
+    // If the request task has ended, the outcome is not needed.
     let _ = reader.events.send(AttemptEvent::Ended { outcome, held_back }).await;
 }
 
-/// A whole answer and its held-back end.
-struct Ended {
+/// The outcome of a complete response and the held-back end of the response.
+struct CompletedAttempt {
     outcome: AttemptOutcome,
     held_back: Vec<Bytes>,
 }
 
-/// Reads an answer piece by piece.
-struct Reader {
+/// Reads a response chunk by chunk.
+struct ResponseReader {
     events: mpsc::Sender<AttemptEvent>,
     timeouts: Timeouts,
-    keep: Option<Vec<u8>>,
+    stored_body: Option<Vec<u8>>,
     counted: Usage,
-    pieces_sent: u64,
+    chunks_sent: u64,
 }
 
-impl Reader {
-    /// A failure in the middle. Whether bytes reached the caller is for the conductor to say.
-    fn broken(&self, reason: impl ToString) -> AttemptOutcome {
+impl ResponseReader {
+    /// Outcome of an interrupted response. `delivered` only says whether chunks were sent to the
+    /// request task, which replaces it by whether the caller has received the response's head.
+    fn interrupted(&self, reason: impl ToString) -> AttemptOutcome {
         AttemptOutcome::Incomplete {
             reason: reason.to_string(),
             counted: self.counted,
-            delivered: self.pieces_sent > 0,
+            delivered: self.chunks_sent > 0,
         }
     }
 
-    async fn pass_on(&mut self, piece: Bytes) {
-        self.keep_for_retry(&piece);
-        self.pieces_sent += 1;
-        let _ = self.events.send(AttemptEvent::Chunk(piece)).await;
+    async fn forward(&mut self, chunk: Bytes) {
+        self.store_for_retry(&chunk);
+        self.chunks_sent += 1;
+        let _ = self.events.send(AttemptEvent::Chunk(chunk)).await;
     }
 
-    fn keep_for_retry(&mut self, piece: &[u8]) {
-        if let Some(kept) = &mut self.keep {
-            kept.extend_from_slice(piece);
+    fn store_for_retry(&mut self, chunk: &[u8]) {
+        if let Some(stored_body) = &mut self.stored_body {
+            stored_body.extend_from_slice(chunk);
         }
     }
 
-    async fn head(&self, status: StatusCode, headers: HeaderMap) {
+    async fn send_head(&self, status: StatusCode, headers: HeaderMap) {
         let _ = self.events.send(AttemptEvent::Head { status, headers }).await;
     }
 
-    /// The next piece of a body; `None` at its end.
-    async fn next(&self, body: &mut Incoming) -> Result<Option<Bytes>, String> {
+    /// The next chunk of a body; `None` at its end.
+    async fn next_chunk(&self, body: &mut Incoming) -> Result<Option<Bytes>, String> {
         loop {
             match tokio::time::timeout(self.timeouts.chunk, body.frame()).await {
                 Err(_) => return Err(format!("silent for {:?}", self.timeouts.chunk)),
@@ -179,20 +180,21 @@
     }
 
     async fn read_all(&self, body: &mut Incoming, limit: usize) -> Result<Bytes, String> {
-        let mut whole = Vec::new();
-        while let Some(piece) = self.next(body).await? {
-            if whole.len() + piece.len() > limit {
+        let mut collected = Vec::new();
+        while let Some(chunk) = self.next_chunk(body).await? {
+            if collected.len() + chunk.len() > limit {
                 return Err(format!("longer than {limit} bytes"));
             }
-            whole.extend_from_slice(&piece);
+            collected.extend_from_slice(&chunk);
         }
-        Ok(whole.into())
+        Ok(collected.into())
     }
 
-    /// The answer to be kept; one that is too long is only remembered as run.
-    fn kept_answer(&mut self, status: StatusCode, content_type: String) -> StoredAnswer {
-        let body = self.keep.take().unwrap_or_default();
-        if body.len() > MAX_KEPT_BYTES {
+    /// The response to be stored; one that is too long is stored only as having run, without its
+    /// content.
+    fn stored_answer(&mut self, status: StatusCode, content_type: String) -> StoredAnswer {
+        let body = self.stored_body.take().unwrap_or_default();
+        if body.len() > MAX_STORED_BYTES {
             return StoredAnswer::unknown();
         }
         StoredAnswer {
@@ -207,12 +209,12 @@
 async fn send(
     client: &Client,
     request: Request<ClientBody>,
-    reader: &Reader,
+    reader: &ResponseReader,
 ) -> Result<ClientAnswer, AttemptOutcome> {
     match tokio::time::timeout(reader.timeouts.first_byte, client.send(request)).await {
-        Err(_) => Err(reader.broken(format!("no answer in {:?}", reader.timeouts.first_byte))),
+        Err(_) => Err(reader.interrupted(format!("no answer in {:?}", reader.timeouts.first_byte))),
         Ok(Err(error)) if error.not_sent => Err(AttemptOutcome::NotSent { reason: error.reason }),
-        Ok(Err(error)) => Err(reader.broken(error.reason)),
+        Ok(Err(error)) => Err(reader.interrupted(error.reason)),
         Ok(Ok(answer)) => Ok(answer),
     }
 }
@@ -221,8 +223,8 @@
     client: &Client,
     dispatch: &Dispatch,
     chat: &ChatRequest,
-    reader: &mut Reader,
-) -> Result<Ended, AttemptOutcome> {
+    reader: &mut ResponseReader,
+) -> Result<CompletedAttempt, AttemptOutcome> {
     reader.counted.prompt_tokens = chat.estimated_prompt_tokens;
     let request = Request::post(format!("http://{}/v1/chat/completions", dispatch.address))
         .header(header::CONTENT_TYPE, "application/json")
@@ -233,50 +235,50 @@
     let answer = send(client, request, reader).await?;
     let status = answer.status();
     let content_type = content_type_of(answer.headers());
-    let rest = asked_rest(status, answer.headers());
+    let rest = requested_backoff(status, answer.headers());
     let echoed = answer.headers().get("x-request-id").cloned();
     if echoed.is_some_and(|id| id.as_bytes() != dispatch.request.to_string().as_bytes()) {
-        return Err(reader.broken("the answer belongs to another request"));
+        return Err(reader.interrupted("the answer belongs to another request"));
     }
     let mut body = answer.into_body();
     if status != StatusCode::OK {
-        return Err(rejected(status, content_type, rest, &mut body, reader).await);
+        return Err(read_rejection(status, content_type, rest, &mut body, reader).await);
     }
     if chat.stream {
-        stream_chat(&mut body, chat, content_type, reader).await
+        streamed_chat(&mut body, chat, content_type, reader).await
     } else {
-        whole_chat(&mut body, content_type, reader).await
+        buffered_chat(&mut body, content_type, reader).await
     }
 }
 
-/// For how long a back end that turns a request away wants no further one.
-fn asked_rest(status: StatusCode, headers: &HeaderMap) -> Option<Millis> {
+/// The backoff that a rejecting response asks for in its `Retry-After` header.
+fn requested_backoff(status: StatusCode, headers: &HeaderMap) -> Option<Millis> {
     if !matches!(status, StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS) {
         return None;
     }
     let value = headers.get(header::RETRY_AFTER)?;
-    let rest = value.to_str().ok().and_then(Millis::parse_retry_after);
-    if rest.is_none() {
-        log::info!(step = "answer"; "a back end asks for a rest that can't be read");
+    let backoff = value.to_str().ok().and_then(Millis::parse_retry_after);
+    if backoff.is_none() {
+        log::info!(step = "answer"; "back end's retry-after header can't be parsed");
     }
-    rest
+    backoff
 }
 
-/// An error status before any output.
-async fn rejected(
+/// Reads a response with an error status before any output.
+async fn read_rejection(
     status: StatusCode,
     content_type: String,
     rest: Option<Millis>,
     body: &mut Incoming,
-    reader: &Reader,
+    reader: &ResponseReader,
 ) -> AttemptOutcome {
     let text = match reader.read_all(body, MAX_ERROR_BYTES).await {
         Ok(text) => text,
-        Err(reason) => return reader.broken(reason),
+        Err(reason) => return reader.interrupted(reason),
     };
-    let turned_away = status == StatusCode::SERVICE_UNAVAILABLE || status.is_client_error();
-    if !turned_away {
-        return reader.broken(format!("status {status}"));
+    let rejected_unexecuted = status == StatusCode::SERVICE_UNAVAILABLE || status.is_client_error();
+    if !rejected_unexecuted {
+        return reader.interrupted(format!("status {status}"));
     }
     let answer = StoredAnswer {
         status: status.as_u16(),
@@ -287,68 +289,71 @@
     AttemptOutcome::Rejected { status: status.as_u16(), answer, rest }
 }
 
-/// A streamed answer: events pass as they come, from the one that ends generation on they are
-/// held back for the bill.
-async fn stream_chat(
+/// Forwards a streamed chat response event by event. From the event that ends generation on,
+/// events are held back until the bill has been recorded.
+async fn streamed_chat(
     body: &mut Incoming,
     chat: &ChatRequest,
     content_type: String,
-    reader: &mut Reader,
-) -> Result<Ended, AttemptOutcome> {
+    reader: &mut ResponseReader,
+) -> Result<CompletedAttempt, AttemptOutcome> {
     let mut headers = HeaderMap::new();
     headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("text/event-stream"));
     headers.insert(header::CACHE_CONTROL, HeaderValue::from_static("no-cache"));
-    reader.head(StatusCode::OK, headers).await;
+    reader.send_head(StatusCode::OK, headers).await;
     let mut splitter = EventSplitter::default();
     let mut answer_id: Option<String> = None;
     let mut reported = None;
     let mut held_back = Vec::new();
-    let mut ending = false;
+    let mut generation_ended = false;
     loop {
-        let Some(bytes) = reader.next(body).await.map_err(|reason| reader.broken(reason))? else {
-            return Err(reader.broken("the stream ended without its end mark"));
+        let Some(bytes) =
+            reader.next_chunk(body).await.map_err(|reason| reader.interrupted(reason))?
+        else {
+            return Err(reader.interrupted("the stream ended without its end mark"));
         };
         for event in splitter.push(&bytes) {
             let Some(data) = event_data(&event) else {
-                reader.pass_on(event).await;
+                reader.forward(event).await;
                 continue;
             };
-            if data == END_MARK {
-                reader.keep_for_retry(&event);
+            if data == END_OF_STREAM {
+                reader.store_for_retry(&event);
                 held_back.push(event);
-                let answer = reader.kept_answer(StatusCode::OK, content_type);
+                let answer = reader.stored_answer(StatusCode::OK, content_type);
                 let counted = reader.counted;
-                return Ok(Ended {
+                return Ok(CompletedAttempt {
                     outcome: AttemptOutcome::Answered { reported, counted, answer, rest: None },
                     held_back,
                 });
             }
             let part: AnswerPart = serde_json::from_str(&data)
-                .map_err(|error| reader.broken(format!("a chunk is not JSON: {error}")))?;
-            check_id(&mut answer_id, &part).map_err(|reason| reader.broken(reason))?;
-            reader.counted.completion_tokens += tokens_in(&part);
-            ending |= part.choices.iter().any(|choice| choice.finish_reason.is_some());
+                .map_err(|error| reader.interrupted(format!("a chunk is not JSON: {error}")))?;
+            check_answer_id(&mut answer_id, &part).map_err(|reason| reader.interrupted(reason))?;
+            reader.counted.completion_tokens += count_tokens(&part);
+            generation_ended |= part.choices.iter().any(|choice| choice.finish_reason.is_some());
             if let Some(usage) = part.usage {
                 reported = Some(Usage::from(usage));
                 if part.choices.is_empty() && !chat.wants_usage {
                     continue;
                 }
             }
-            if ending {
-                reader.keep_for_retry(&event);
+            if generation_ended {
+                reader.store_for_retry(&event);
                 held_back.push(event);
             } else {
-                reader.pass_on(event).await;
+                reader.forward(event).await;
             }
         }
     }
 }
 
-/// All chunks of an answer carry the same id; another one means that streams were crossed.
-fn check_id(known: &mut Option<String>, part: &AnswerPart) -> Result<(), String> {
-    match known {
+/// Checks that all chunks of a response have the same id; another id means that the back end has
+/// mixed two streams.
+fn check_answer_id(expected_id: &mut Option<String>, part: &AnswerPart) -> Result<(), String> {
+    match expected_id {
         None => {
-            *known = Some(part.id.clone());
+            *expected_id = Some(part.id.clone());
             Ok(())
         }
         Some(id) if *id == part.id => Ok(()),
@@ -356,8 +361,8 @@
     }
 }
 
-/// A chunk with text stands for at least one token.
-fn tokens_in(part: &AnswerPart) -> u64 {
+/// Counts the chunks with text, each of which stands for at least one token.
+fn count_tokens(part: &AnswerPart) -> u64 {
     let has_text = |delta: &crate::chat::AnswerDelta| {
         delta.content.as_ref().is_some_and(|text| !text.is_empty())
     };
@@ -365,28 +370,30 @@
     chunks.filter(|delta| has_text(delta)).count() as u64
 }
 
-/// An answer in one piece.
-async fn whole_chat(
+/// Reads a chat response that is not streamed.
+async fn buffered_chat(
     body: &mut Incoming,
     content_type: String,
-    reader: &mut Reader,
-) -> Result<Ended, AttemptOutcome> {
-    let bytes =
-        reader.read_all(body, MAX_KEPT_BYTES).await.map_err(|reason| reader.broken(reason))?;
+    reader: &mut ResponseReader,
+) -> Result<CompletedAttempt, AttemptOutcome> {
+    let bytes = reader
+        .read_all(body, MAX_STORED_BYTES)
+        .await
+        .map_err(|reason| reader.interrupted(reason))?;
     let part: AnswerPart = serde_json::from_slice(&bytes)
-        .map_err(|error| reader.broken(format!("the answer is not JSON: {error}")))?;
+        .map_err(|error| reader.interrupted(format!("the answer is not JSON: {error}")))?;
     let mut headers = HeaderMap::new();
     headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
-    reader.head(StatusCode::OK, headers).await;
-    reader.keep_for_retry(&bytes);
+    reader.send_head(StatusCode::OK, headers).await;
+    reader.store_for_retry(&bytes);
     if part.usage.is_none() {
         reader.counted.completion_tokens = (bytes.len() as u64).div_ceil(4);
     }
-    let answer = reader.kept_answer(StatusCode::OK, content_type);
+    let answer = reader.stored_answer(StatusCode::OK, content_type);
     let reported = part.usage.map(Usage::from);
     let counted = reader.counted;
     let outcome = AttemptOutcome::Answered { reported, counted, answer, rest: None };
-    Ok(Ended { outcome, held_back: vec![bytes] })
+    Ok(CompletedAttempt { outcome, held_back: vec![bytes] })
 }
 
 fn plain_request(
@@ -397,8 +404,8 @@
     body: PlainBody,
 ) -> Result<Request<ClientBody>, String> {
     let body = match body {
-        PlainBody::Whole(bytes) => Client::whole(bytes),
-        PlainBody::Streamed(pieces) => Client::streamed(pieces),
+        PlainBody::Buffered(bytes) => Client::whole(bytes),
+        PlainBody::Streamed(chunks) => Client::streamed(chunks),
     };
     let mut request = Request::builder()
         .method(method)
@@ -414,33 +421,36 @@
     Ok(request)
 }
 
-/// A plain answer passes as it comes; its last piece is held back for the bill.
+/// Forwards a plain response chunk by chunk. Its last chunk is held back until the bill has been
+/// recorded.
 async fn run_plain(
     client: &Client,
     request: Result<Request<ClientBody>, String>,
-    reader: &mut Reader,
-) -> Result<Ended, AttemptOutcome> {
+    reader: &mut ResponseReader,
+) -> Result<CompletedAttempt, AttemptOutcome> {
     let request = request.map_err(|reason| AttemptOutcome::NotSent { reason })?;
     let answer = send(client, request, reader).await?;
     let status = answer.status();
     let content_type = content_type_of(answer.headers());
-    let rest = asked_rest(status, answer.headers());
-    reader.head(status, strip_hop_by_hop_headers(answer.headers().clone())).await;
+    let rest = requested_backoff(status, answer.headers());
+    reader.send_head(status, strip_hop_by_hop_headers(answer.headers().clone())).await;
     let mut body = answer.into_body();
     let mut last: Option<Bytes> = None;
-    while let Some(piece) = reader.next(&mut body).await.map_err(|reason| reader.broken(reason))? {
-        if let Some(earlier) = last.replace(piece) {
-            reader.pass_on(earlier).await;
+    while let Some(chunk) =
+        reader.next_chunk(&mut body).await.map_err(|reason| reader.interrupted(reason))?
+    {
+        if let Some(earlier) = last.replace(chunk) {
+            reader.forward(earlier).await;
         }
     }
     let held_back: Vec<Bytes> = last.into_iter().collect();
-    for piece in &held_back {
-        reader.keep_for_retry(piece);
+    for chunk in &held_back {
+        reader.store_for_retry(chunk);
     }
-    let answer = reader.kept_answer(status, content_type);
+    let answer = reader.stored_answer(status, content_type);
     let counted = reader.counted;
     let outcome = AttemptOutcome::Answered { reported: None, counted, answer, rest };
-    Ok(Ended { outcome, held_back })
+    Ok(CompletedAttempt { outcome, held_back })
 }
 
 fn content_type_of(headers: &HeaderMap) -> String {
@@ -448,7 +458,7 @@
     value.unwrap_or("application/octet-stream").to_string()
 }
 
-/// Removes the headers that concern one connection only, those named by `Connection` included.
+/// Removes the hop-by-hop headers, including those named by `Connection`.
 pub fn strip_hop_by_hop_headers(mut headers: HeaderMap) -> HeaderMap {
     let named: Vec<String> = headers
         .get_all(header::CONNECTION)
--- a/crates/router/src/chat.rs
+++ b/crates/router/src/chat.rs
@@ -1,4 +1,4 @@
-//! Requests and answers of the chat-completions protocol, as far as the router reads them.
+//! Requests and responses of the chat-completions protocol, as far as the router reads them.
 
 use crate::envelope::RequestError;
 use serde::Deserialize;
@@ -10,19 +10,19 @@
 
 /// Tokens that a chat template may add to each message.
 const TEMPLATE_TOKENS_PER_MESSAGE: u64 = 16;
-/// Bytes of text that make up one token on average; only for estimates.
+/// Average number of text bytes per token, for estimates only.
 const BYTES_PER_TOKEN: u64 = 4;
 
 /// A chat request.
 #[derive(Clone, Debug)]
 pub struct ChatRequest {
-    /// What is asked for, as the state machine sees it.
+    /// The request as the state machine reads it.
     pub target: Target,
-    /// Whether the answer is to be streamed.
+    /// Whether the response is streamed.
     pub stream: bool,
-    /// Whether the caller wants the usage in the stream.
+    /// Whether the caller requested the usage in the stream.
     pub wants_usage: bool,
-    /// Higher goes first.
+    /// Requests of higher priority go first.
     pub priority: i32,
     /// Estimate of the prompt's length in tokens.
     pub estimated_prompt_tokens: u64,
@@ -30,7 +30,7 @@
 }
 
 impl ChatRequest {
-    /// Reads a request body.
+    /// Parses a request body.
     pub fn parse(bytes: &[u8]) -> Result<Self, RequestError> {
         let value: Value = serde_json::from_slice(bytes).map_err(|error| {
             RequestError::bad_request(
@@ -48,23 +48,23 @@
         };
         let model = match body.get("model") {
             Some(Value::String(name)) if !name.is_empty() => ModelName::new(name),
-            _ => return Err(wrong("model", "a model's name")),
+            _ => return Err(invalid_field("model", "a model's name")),
         };
         let Some(Value::Array(messages)) = body.get("messages") else {
-            return Err(wrong("messages", "a list of messages"));
+            return Err(invalid_field("messages", "a list of messages"));
         };
         if messages.is_empty() {
-            return Err(wrong("messages", "at least one message"));
+            return Err(invalid_field("messages", "at least one message"));
         }
         if body.get("n").is_some_and(|n| !n.is_null() && n.as_u64() != Some(1)) {
-            return Err(wrong("n", "1"));
+            return Err(invalid_field("n", "1"));
         }
-        let max_tokens = token_limit(&body)?;
+        let max_tokens = requested_max_tokens(&body)?;
         let prompt = prompt_text(messages);
-        let extra = body.get("tools").map_or(0, |tools| tools.to_string().len() as u64);
-        let text_bytes = prompt.len() as u64 + extra;
+        let tools_bytes = body.get("tools").map_or(0, |tools| tools.to_string().len() as u64);
+        let text_bytes = prompt.len() as u64 + tools_bytes;
         let blocks: Vec<BlockHash> = block_hashes(model.as_str(), &prompt);
-        let stream = flag(&body, "stream")?;
+        let stream = bool_field(&body, "stream")?;
         let options = body.get("stream_options").and_then(Value::as_object);
         let wants_usage = options
             .and_then(|options| options.get("include_usage"))
@@ -74,7 +74,7 @@
         Ok(Self {
             target: Target::Chat {
                 model,
-                // No tokenizer makes more tokens than there are bytes.
+                // A tokenizer produces at most one token per byte.
                 prompt_tokens: text_bytes + TEMPLATE_TOKENS_PER_MESSAGE * messages.len() as u64,
                 max_tokens,
                 blocks,
@@ -87,7 +87,7 @@
         })
     }
 
-    /// The body for the engine: generation is bounded, and a stream ends with its usage.
+    /// The body for the engine, with the generation limit set and usage requested in a stream.
     pub fn engine_body(&self, max_tokens: Option<u64>) -> Bytes {
         let mut body = self.body.clone();
         if let Some(limit) = max_tokens {
@@ -101,33 +101,33 @@
     }
 }
 
-fn wrong(field: &str, allowed: &str) -> RequestError {
+fn invalid_field(field: &str, allowed: &str) -> RequestError {
     let message = format!("field `{field}`: allowed: {allowed}");
     RequestError::bad_request("invalid_field", Some(field), message)
 }
 
-fn flag(body: &Map<String, Value>, field: &str) -> Result<bool, RequestError> {
+fn bool_field(body: &Map<String, Value>, field: &str) -> Result<bool, RequestError> {
     match body.get(field) {
         None | Some(Value::Null) => Ok(false),
         Some(Value::Bool(value)) => Ok(*value),
-        Some(_) => Err(wrong(field, "true or false")),
+        Some(_) => Err(invalid_field(field, "true or false")),
     }
 }
 
-fn token_limit(body: &Map<String, Value>) -> Result<Option<u64>, RequestError> {
+fn requested_max_tokens(body: &Map<String, Value>) -> Result<Option<u64>, RequestError> {
     for field in ["max_completion_tokens", "max_tokens"] {
         match body.get(field) {
             None | Some(Value::Null) => {}
             Some(value) => match value.as_u64() {
                 Some(limit) => return Ok(Some(limit)),
-                None => return Err(wrong(field, "a whole number from 1 up")),
+                None => return Err(invalid_field(field, "a whole number from 1 up")),
             },
         }
     }
     Ok(None)
 }
 
-/// Everything in the messages that becomes prompt text.
+/// All text of the messages that becomes part of the prompt.
 fn prompt_text(messages: &[Value]) -> String {
     let mut text = String::new();
     for message in messages {
@@ -148,10 +148,10 @@
     text
 }
 
-/// The parts of a chunk or an answer that the router reads.
+/// The parts of a chunk or a response that the router reads.
 #[derive(Debug, Deserialize)]
 pub struct AnswerPart {
-    /// Name that all chunks of one answer share.
+    /// Identifier, the same in all chunks of one response.
     #[serde(default)]
     pub id: String,
     /// The choices.
@@ -162,13 +162,13 @@
     pub usage: Option<AnswerUsage>,
 }
 
-/// One choice of a chunk or an answer.
+/// One choice of a chunk or a response.
 #[derive(Debug, Deserialize)]
 pub struct AnswerChoice {
     /// Text added by a chunk.
     #[serde(default)]
     pub delta: Option<AnswerDelta>,
-    /// Why generation ended, if it has.
+    /// Why generation ended, if it has ended.
     #[serde(default)]
     pub finish_reason: Option<String>,
 }
@@ -181,7 +181,7 @@
     pub content: Option<String>,
 }
 
-/// Token counts as engines report them.
+/// Token counts reported by an engine.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub struct AnswerUsage {
     /// Tokens of the prompt.
--- a/crates/router/src/envelope.rs
+++ b/crates/router/src/envelope.rs
@@ -1,52 +1,53 @@
-//! Errors in the API's own form.
+//! Error responses in the format of the API.
 
 use serde::Serialize;
 use stackpost_http::{Answer, StatusCode};
 use stackpost_router_core::{ExecutionOutcome, Refusal, RefusalReason};
 use stackpost_types::RequestId;
 
-/// Body of an error answer.
+/// Body of an error response.
 #[derive(Debug, Serialize)]
 pub struct ErrorEnvelope {
     /// The error.
     pub error: ErrorBody,
 }
 
-/// One error, with the fields that clients of the protocol know and three of our own.
+/// One error, with the fields of the chat-completions protocol and three additional ones:
+/// `outcome`, `request_id` and `retry_after_ms`.
 #[derive(Debug, Serialize)]
 pub struct ErrorBody {
-    /// For people: what happened and what to do.
+    /// Human-readable message: what happened and what to do.
     pub message: String,
-    /// Kind of error, as clients know it.
+    /// Kind of error in the terms of the chat-completions protocol.
     #[serde(rename = "type")]
     pub kind: &'static str,
-    /// The parameter that is wrong, if one is.
+    /// The invalid parameter, if one is.
     pub param: Option<String>,
-    /// The reason, for programs.
+    /// Machine-readable reason.
     pub code: String,
     /// `not_run` or `unknown`.
     pub outcome: &'static str,
     /// The request.
     pub request_id: String,
-    /// When another try makes sense, in milliseconds.
+    /// Time after which a retry makes sense, in milliseconds.
     pub retry_after_ms: Option<u64>,
 }
 
-/// An error found before a request reaches the state machine.
+/// An error in a request, found before it reaches the state machine.
 #[derive(Debug)]
 pub struct RequestError {
-    /// The answer's status.
+    /// HTTP status of the response.
     pub status: StatusCode,
-    /// The reason, for programs.
+    /// Machine-readable reason.
     pub code: &'static str,
-    /// The parameter that is wrong, if one is.
+    /// The invalid parameter, if one is.
     pub param: Option<String>,
-    /// For people.
+    /// Human-readable message.
     pub message: String,
 }
 
 impl RequestError {
-    /// A request that can't be understood.
+    /// An error with status 400.
     pub fn bad_request(
         code: &'static str,
         param: Option<&str>,
@@ -56,7 +57,7 @@
         Self { status: StatusCode::BAD_REQUEST, code, param, message: message.into() }
     }
 
-    /// The error as an answer.
+    /// The error as a response.
     pub fn into_answer(self, request: RequestId) -> Answer {
         let envelope = ErrorEnvelope {
             error: ErrorBody {
@@ -73,7 +74,7 @@
     }
 }
 
-/// Status and kind of a refusal.
+/// HTTP status and kind of error of a refusal.
 fn classify(reason: RefusalReason) -> (StatusCode, &'static str) {
     use RefusalReason as Reason;
     match reason {
@@ -122,7 +123,7 @@
     }
 }
 
-/// A refusal as an answer.
+/// A refusal as a response.
 pub fn refusal_answer(refusal: &Refusal, request: RequestId) -> Answer {
     let (status, _) = classify(refusal.reason);
     let answer = Answer::json(status, &refusal_body(refusal, request));
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,8 +1,8 @@
 //! The router process: sockets and timers around the state machine of `stackpost-router-core`.
 //!
-//! [`api`] takes callers' requests, [`request_task`] sees each one through, [`attempt`] talks to one
-//! back end, [`server`] runs the state machine and carries out its effects, [`poll`] watches back
-//! ends and the platform, [`admin`] answers operators and probes.
+//! [`api`] receives callers' requests, [`request_task`] handles each one to its end, [`attempt`]
+//! runs one attempt at a back end, [`server`] runs the state machine and applies its effects,
+//! [`poll`] polls back ends and the platform, [`admin`] serves operators and probes.
 
 pub mod admin;
 pub mod api;
--- a/crates/router/src/metrics.rs
+++ b/crates/router/src/metrics.rs
@@ -5,11 +5,12 @@
 use stackpost_types::Tokens;
 use std::time::Duration;
 
-/// Upper ends of the histograms' buckets, in seconds.
-const BOUNDARIES: [f64; 14] =
+/// Upper bounds of the histogram buckets.
+const BUCKET_BOUNDS_SECONDS: [f64; 14] =
     [0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.35, 0.5, 0.67, 1.0, 2.0, 5.0, 20.0, 60.0];
 
-/// Instruments of the router. Labels are bounded: only the reason of a refusal varies.
+/// Instruments of the router. Label cardinality is bounded: only refusals have labels, their reason
+/// and outcome.
 pub struct Metrics {
     registry: MetricsRegistry,
     answered: Counter<u64>,
@@ -25,7 +26,7 @@
 }
 
 impl Metrics {
-    /// Makes the instruments.
+    /// Creates the instruments.
     pub fn new() -> Result<Self, String> {
         let registry = MetricsRegistry::new()?;
         let meter = registry.meter();
@@ -35,11 +36,11 @@
             billed: meter.u64_counter("stackpost_tokens_billed").build(),
             duration: meter
                 .f64_histogram("stackpost_request_duration_seconds")
-                .with_boundaries(BOUNDARIES.to_vec())
+                .with_boundaries(BUCKET_BOUNDS_SECONDS.to_vec())
                 .build(),
             first_chunk: meter
                 .f64_histogram("stackpost_first_token_seconds")
-                .with_boundaries(BOUNDARIES.to_vec())
+                .with_boundaries(BUCKET_BOUNDS_SECONDS.to_vec())
                 .build(),
             in_flight: meter.u64_gauge("stackpost_requests_in_flight").build(),
             queued: meter.u64_gauge("stackpost_requests_queued").build(),
@@ -50,14 +51,14 @@
         })
     }
 
-    /// A request was answered.
+    /// Records a request that was answered.
     pub fn answered(&self, after: Duration, billed: Tokens) {
         self.answered.add(1, &[]);
         self.billed.add(billed.0, &[]);
         self.duration.record(after.as_secs_f64(), &[]);
     }
 
-    /// A request was refused.
+    /// Records a refused request.
     pub fn refused(&self, refusal: &Refusal) {
         let labels = [
             KeyValue::new("reason", refusal.reason.as_str()),
@@ -66,12 +67,12 @@
         self.refused.add(1, &labels);
     }
 
-    /// The first piece of an answer came from a back end.
+    /// Records the first chunk of a response from a back end.
     pub fn first_chunk(&self, after: Duration) {
         self.first_chunk.record(after.as_secs_f64(), &[]);
     }
 
-    /// All metrics as text, with the gauges brought up to date.
+    /// Updates the gauges and renders all metrics as text.
     pub fn render(&self, status: &RouterStatus) -> Result<String, String> {
         self.in_flight.record(status.in_flight as u64, &[]);
         self.queued.record(status.queued as u64, &[]);
--- a/crates/router/src/poll.rs
+++ b/crates/router/src/poll.rs
@@ -1,4 +1,4 @@
-//! Watching back ends and the platform's machine list.
+//! Polling of back ends and of the platform's machine list.
 
 use crate::server::RouterServer;
 use serde::Deserialize;
@@ -13,21 +13,21 @@
 use std::sync::{Arc, OnceLock, Weak};
 use std::time::Duration;
 
-/// Longest wait for an answer to a poll.
+/// Maximum wait for the response to a poll.
 const POLL_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Time between two readings of the platform's list.
+/// Time between two reads of the platform's machine list.
 const PLATFORM_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// The process that usage answers go back to.
-static SHELL: OnceLock<Weak<RouterServer>> = OnceLock::new();
+/// The server that receives the results of usage queries.
+static SERVER: OnceLock<Weak<RouterServer>> = OnceLock::new();
 
-/// A question about a request whose router died.
+/// A usage query for a request whose router has crashed.
 pub struct UsageQuery {
     /// The account that holds the intent.
     pub account: AccountId,
     /// The request.
     pub request: RequestId,
-    /// The back end.
+    /// The back end's address.
     pub address: SocketAddr,
 }
 
@@ -38,7 +38,7 @@
 }
 
 #[derive(Deserialize)]
-struct WholeCache {
+struct CacheSnapshotBody {
     next: u64,
     blocks: Vec<BlockHash>,
 }
@@ -56,32 +56,32 @@
 }
 
 #[derive(Clone)]
-struct Target {
+struct PollTarget {
     name: BackEndName,
     address: SocketAddr,
     kind: ServiceKind,
     next_event: Option<u64>,
 }
 
-/// Watches the back ends of the own zone for ever, each on a task of its own.
+/// Polls the back ends of this router's zone, each in its own task. Never returns.
 pub async fn watch_back_ends(server: Arc<RouterServer>) {
-    let _ = SHELL.set(Arc::downgrade(&server));
+    let _ = SERVER.set(Arc::downgrade(&server));
     let interval = Duration::from_millis(server.options().poll_interval_ms);
     let mut watched: HashSet<BackEndName> = HashSet::new();
     loop {
-        for target in targets(&server) {
+        for target in poll_targets(&server) {
             if watched.insert(target.name.clone()) {
-                tokio::spawn(watch_one(server.clone(), target.name, interval));
+                tokio::spawn(watch_back_end(server.clone(), target.name, interval));
             }
         }
         tokio::time::sleep(interval).await;
     }
 }
 
-async fn watch_one(server: Arc<RouterServer>, name: BackEndName, interval: Duration) {
+async fn watch_back_end(server: Arc<RouterServer>, name: BackEndName, interval: Duration) {
     let client = server.client(true);
     loop {
-        if let Some(target) = targets(&server).into_iter().find(|target| target.name == name) {
+        if let Some(target) = poll_targets(&server).into_iter().find(|target| target.name == name) {
             poll_load(&server, &client, &target).await;
             if target.kind == ServiceKind::Model {
                 poll_cache(&server, &client, &target).await;
@@ -91,7 +91,7 @@
     }
 }
 
-fn targets(server: &RouterServer) -> Vec<Target> {
+fn poll_targets(server: &RouterServer) -> Vec<PollTarget> {
     let zone = server.entry().zone.clone();
     server.inspect(|router| {
         let kind_of =
@@ -103,7 +103,7 @@
             .balancer()
             .iter()
             .filter(|(_, back_end)| back_end.row.zone == zone)
-            .map(|(name, back_end)| Target {
+            .map(|(name, back_end)| PollTarget {
                 name: name.clone(),
                 address: back_end.row.address,
                 kind: kind_of(&back_end.row.service),
@@ -129,7 +129,7 @@
     }
 }
 
-async fn poll_load(server: &RouterServer, client: &Client, target: &Target) {
+async fn poll_load(server: &RouterServer, client: &Client, target: &PollTarget) {
     let back_end = target.name.clone();
     let body = get(client, target.address, "/v1/engine/load").await;
     let report = body.and_then(|body| serde_json::from_slice::<LoadReport>(&body).ok());
@@ -139,8 +139,9 @@
     }
 }
 
-/// Follows an engine's cache events; after a gap the whole cache is read.
-async fn poll_cache(server: &RouterServer, client: &Client, target: &Target) {
+/// Reads an engine's cache events; if their sequence number is unknown, as after a gap, reads a
+/// snapshot of the cache.
+async fn poll_cache(server: &RouterServer, client: &Client, target: &PollTarget) {
     let back_end = target.name.clone();
     match target.next_event {
         Some(next) => {
@@ -157,15 +158,15 @@
             let Some(body) = get(client, target.address, "/v1/engine/cache").await else {
                 return;
             };
-            if let Ok(whole) = serde_json::from_slice::<WholeCache>(&body) {
-                let WholeCache { next, blocks } = whole;
+            if let Ok(snapshot) = serde_json::from_slice::<CacheSnapshotBody>(&body) {
+                let CacheSnapshotBody { next, blocks } = snapshot;
                 server.handle(Event::CacheSnapshot { back_end, next, blocks });
             }
         }
     }
 }
 
-/// Reads the platform's machine list for ever.
+/// Polls the platform's machine list. Never returns.
 pub async fn watch_platform(server: Arc<RouterServer>, address: SocketAddr) {
     let client = server.client(true);
     loop {
@@ -174,7 +175,10 @@
         {
             let entries = listed
                 .into_iter()
-                .map(|line| PlatformEntry { back_end: line.back_end, leaving: line.leaving })
+                .map(|machine| PlatformEntry {
+                    back_end: machine.back_end,
+                    leaving: machine.leaving,
+                })
                 .collect();
             server.handle(Event::Platform(entries));
         }
@@ -182,16 +186,16 @@
     }
 }
 
-/// Asks a back end what a request used.
+/// Queries a back end for the usage of a request.
 pub async fn query_usage(client: Client, query: UsageQuery) {
     let UsageQuery { account, request, address } = query;
     let body = get(&client, address, &format!("/v1/engine/requests/{request}")).await;
     let usage = body.and_then(|body| serde_json::from_slice::<RequestUsage>(&body).ok());
-    let usage = usage.map(|known| Usage {
-        prompt_tokens: known.prompt_tokens,
-        completion_tokens: known.completion_tokens,
+    let usage = usage.map(|reported| Usage {
+        prompt_tokens: reported.prompt_tokens,
+        completion_tokens: reported.completion_tokens,
     });
-    if let Some(server) = SHELL.get().and_then(Weak::upgrade) {
+    if let Some(server) = SERVER.get().and_then(Weak::upgrade) {
         server.handle(Event::UsageReceived { account, request, usage });
     }
 }
--- a/crates/router/src/request_task.rs
+++ b/crates/router/src/request_task.rs
@@ -1,5 +1,5 @@
-//! Sees one request through: from the state machine's signals and the back end's pieces to the
-//! caller.
+//! The task of one request: follows the signals of the state machine and forwards the back end's
+//! response to the caller.
 
 use crate::attempt::{self, AttemptEvent, Payload, PlainBody, Timeouts};
 use crate::chat::ChatRequest;
@@ -16,33 +16,33 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{mpsc, oneshot};
 
-/// Pieces that may wait for a slow caller or a closed gate before the back end has to wait.
-const PIECES_AHEAD: usize = 64;
-/// Pieces of an attempt that may wait for the conductor.
-const EVENTS_AHEAD: usize = 64;
-/// Time between two looks at whether the caller is still there.
-const WATCH_INTERVAL: Duration = Duration::from_millis(250);
+/// Maximum number of chunks that wait for a slow caller before the back end has to wait.
+const CALLER_CHANNEL_CAPACITY: usize = 64;
+/// Maximum number of an attempt's events that wait for the request task.
+const EVENT_CHANNEL_CAPACITY: usize = 64;
+/// Time between two checks whether the caller is still connected.
+const CALLER_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What the state machine says about one request.
+/// An instruction of the state machine about one request.
 #[derive(Debug)]
 pub enum Signal {
     /// Send it to a back end.
     Dispatch(Dispatch),
-    /// Stop an attempt.
+    /// Stop the attempt of this number.
     Cancel(u32),
-    /// Bytes may flow, all but the end.
+    /// Start sending the response, except for its end.
     StartResponse,
-    /// The end may go out.
+    /// Send the end of the response; the tokens were billed.
     Finish(Tokens),
-    /// Give the caller a kept answer.
+    /// Send the caller a stored response.
     Replay(StoredAnswer),
-    /// Give the caller a refusal.
+    /// Send the caller a refusal.
     Refuse(Refusal),
-    /// Nobody waits for it any more.
+    /// The caller has disconnected and the request was dropped.
     Dropped,
 }
 
-/// What a request asks of a back end, kept for further attempts.
+/// What is sent to a back end, stored for further attempts.
 pub enum PayloadSource {
     /// A chat request.
     Chat(Arc<ChatRequest>),
@@ -54,62 +54,62 @@
         path: String,
         /// The caller's headers.
         headers: HeaderMap,
-        /// The body, if it is here whole.
-        whole: Option<Bytes>,
-        /// The body, if it is still coming in; taken by the first attempt.
+        /// The body, if it was received completely.
+        buffered: Option<Bytes>,
+        /// The body, if it is still being received; consumed by the first attempt.
         streamed: Option<mpsc::Receiver<Result<Bytes, BodyAborted>>>,
     },
 }
 
-/// Everything needed to see a request through.
+/// Everything needed to handle a request to its end.
 pub struct RequestTask {
-    /// The process.
+    /// The server that runs the state machine.
     pub server: Arc<RouterServer>,
-    /// The request within this process.
+    /// Identifies the request within this process.
     pub call: CallId,
-    /// The request across routers.
+    /// Identifies the request across routers.
     pub request: RequestId,
-    /// What is asked for.
+    /// What is sent to back ends.
     pub payload_source: PayloadSource,
-    /// Whether the caller expects events.
+    /// Whether the caller expects a stream of events.
     pub stream: bool,
-    /// Tells when the caller goes away.
+    /// Detects that the caller has disconnected.
     pub watch: Option<ConnectionWatch>,
     /// Signals from the state machine.
     pub signals: mpsc::UnboundedReceiver<Signal>,
-    /// Where the answer's head goes.
+    /// Receives the response's head.
     pub reply: oneshot::Sender<Answer>,
-    /// When the request came in.
+    /// When the request was received.
     pub arrived_at: Instant,
 }
 
-/// The way to the caller.
-struct CallerSide {
+/// The response channel to the caller.
+struct CallerConnection {
     reply: Option<oneshot::Sender<Answer>>,
-    pieces: Option<mpsc::Sender<Result<Bytes, BodyAborted>>>,
-    gone: bool,
+    chunks: Option<mpsc::Sender<Result<Bytes, BodyAborted>>>,
+    disconnected: bool,
 }
 
-/// An attempt that is under way.
-struct Running {
+/// A running attempt and the parts of its response not yet sent.
+struct RunningAttempt {
     dispatch: Dispatch,
     events: mpsc::Receiver<AttemptEvent>,
     task: tokio::task::JoinHandle<()>,
     head: Option<(StatusCode, HeaderMap)>,
-    waiting: Vec<Bytes>,
+    pending_chunks: Vec<Bytes>,
     held_back: Vec<Bytes>,
     ended: bool,
-    pieces_seen: u64,
+    chunks_received: u64,
 }
 
-enum Next {
+enum Wakeup {
     Signal(Option<Signal>),
     Attempt(Option<AttemptEvent>),
-    Look,
+    CheckCaller,
 }
 
 impl RequestTask {
-    /// Runs until the caller has its final answer or is gone.
+    /// Runs until the final response has been sent or the caller has disconnected.
     pub async fn run(self) {
         let Self {
             server,
@@ -122,8 +122,8 @@
             reply,
             arrived_at,
         } = self;
-        let caller = CallerSide { reply: Some(reply), pieces: None, gone: false };
-        let mut state = State {
+        let caller = CallerConnection { reply: Some(reply), chunks: None, disconnected: false };
+        let mut state = TaskState {
             server: server.clone(),
             call,
             request,
@@ -132,7 +132,7 @@
             caller,
             running: None,
             back_end: None,
-            open: false,
+            response_started: false,
             arrived_at,
         };
         state.serve(watch, signals).await;
@@ -140,44 +140,44 @@
     }
 }
 
-struct State {
+struct TaskState {
     server: Arc<RouterServer>,
     call: CallId,
     request: RequestId,
     payload_source: PayloadSource,
     stream: bool,
-    caller: CallerSide,
-    running: Option<Running>,
+    caller: CallerConnection,
+    running: Option<RunningAttempt>,
     back_end: Option<String>,
-    open: bool,
+    response_started: bool,
     arrived_at: Instant,
 }
 
-impl State {
+impl TaskState {
     async fn serve(
         &mut self,
         watch: Option<ConnectionWatch>,
         mut signals: mpsc::UnboundedReceiver<Signal>,
     ) {
-        let mut look = tokio::time::interval(WATCH_INTERVAL);
-        look.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+        let mut caller_check = tokio::time::interval(CALLER_CHECK_INTERVAL);
+        caller_check.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             let next = tokio::select! {
                 biased;
-                signal = signals.recv() => Next::Signal(signal),
-                event = next_event(&mut self.running) => Next::Attempt(event),
-                _ = look.tick() => Next::Look,
+                signal = signals.recv() => Wakeup::Signal(signal),
+                event = next_attempt_event(&mut self.running) => Wakeup::Attempt(event),
+                _ = caller_check.tick() => Wakeup::CheckCaller,
             };
             match next {
-                Next::Signal(None) => return,
-                Next::Signal(Some(signal)) => {
+                Wakeup::Signal(None) => return,
+                Wakeup::Signal(Some(signal)) => {
                     if self.on_signal(signal).await {
                         return;
                     }
                 }
-                Next::Attempt(Some(event)) => self.on_attempt_event(event).await,
-                Next::Attempt(None) => self.on_attempt_lost(),
-                Next::Look => {
+                Wakeup::Attempt(Some(event)) => self.on_attempt_event(event).await,
+                Wakeup::Attempt(None) => self.on_attempt_lost(),
+                Wakeup::CheckCaller => {
                     if watch.as_ref().is_some_and(ConnectionWatch::is_closed) {
                         self.on_caller_gone();
                     }
@@ -186,18 +186,18 @@
         }
     }
 
-    /// Returns whether the request is finished.
+    /// Handles a signal; returns whether the request is finished.
     async fn on_signal(&mut self, signal: Signal) -> bool {
         match signal {
-            Signal::Dispatch(dispatch) => self.start(dispatch),
+            Signal::Dispatch(dispatch) => self.start_attempt(dispatch),
             Signal::Cancel(number) => self.cancel(number),
             Signal::StartResponse => {
-                self.open = true;
-                self.let_flow().await;
+                self.response_started = true;
+                self.forward_pending().await;
             }
             Signal::Finish(billed) => {
-                self.open = true;
-                self.let_flow().await;
+                self.response_started = true;
+                self.forward_pending().await;
                 self.finish(billed).await;
                 return true;
             }
@@ -214,15 +214,15 @@
         false
     }
 
-    fn start(&mut self, dispatch: Dispatch) {
-        let (payload, repeatable_connection) = match &mut self.payload_source {
+    fn start_attempt(&mut self, dispatch: Dispatch) {
+        let (payload, pooled) = match &mut self.payload_source {
             PayloadSource::Chat(chat) => (Payload::Chat(chat.clone()), true),
-            PayloadSource::Plain { method, path, headers, whole, streamed } => {
-                let body = match (whole.as_ref(), streamed.take()) {
-                    (Some(bytes), _) => PlainBody::Whole(bytes.clone()),
-                    (None, Some(pieces)) => PlainBody::Streamed(pieces),
+            PayloadSource::Plain { method, path, headers, buffered, streamed } => {
+                let body = match (buffered.as_ref(), streamed.take()) {
+                    (Some(bytes), _) => PlainBody::Buffered(bytes.clone()),
+                    (None, Some(chunks)) => PlainBody::Streamed(chunks),
                     (None, None) => {
-                        self.report_unsendable(&dispatch);
+                        self.report_body_consumed(&dispatch);
                         return;
                     }
                 };
@@ -230,30 +230,30 @@
                 (Payload::Plain { method, path, headers, body }, false)
             }
         };
-        let client: Client = self.server.client(repeatable_connection);
+        let client: Client = self.server.client(pooled);
         let options = self.server.options();
         let timeout = Timeouts {
             first_byte: Duration::from_millis(options.first_byte_timeout_ms),
             chunk: Duration::from_millis(options.chunk_timeout_ms),
         };
-        let (sender, events) = mpsc::channel(EVENTS_AHEAD);
+        let (sender, events) = mpsc::channel(EVENT_CHANNEL_CAPACITY);
         let task = tokio::spawn(attempt::run(client, dispatch.clone(), payload, timeout, sender));
         self.back_end = Some(dispatch.back_end.to_string());
-        self.open = false;
-        self.running = Some(Running {
+        self.response_started = false;
+        self.running = Some(RunningAttempt {
             dispatch,
             events,
             task,
             head: None,
-            waiting: Vec::new(),
+            pending_chunks: Vec::new(),
             held_back: Vec::new(),
             ended: false,
-            pieces_seen: 0,
+            chunks_received: 0,
         });
     }
 
-    /// The body was consumed by an earlier attempt, so nothing can be sent.
-    fn report_unsendable(&self, dispatch: &Dispatch) {
+    /// Reports that an earlier attempt has consumed the streamed body, so nothing can be sent.
+    fn report_body_consumed(&self, dispatch: &Dispatch) {
         let outcome = AttemptOutcome::Incomplete {
             reason: "the body was passed on as it came and can't be sent again".into(),
             counted: Usage::default(),
@@ -266,7 +266,8 @@
         self.server.handle(Event::Attempt { call: self.call, number, outcome });
     }
 
-    /// Dropping the attempt closes its connection, by which the engine stops generating.
+    /// Cancels an attempt. Aborting its task closes the connection, which makes the engine stop
+    /// generating.
     fn cancel(&mut self, number: u32) {
         let Some(running) = self.running.take() else {
             return;
@@ -279,15 +280,15 @@
         if running.ended {
             return;
         }
-        let counted = self.counted_so_far(&running);
+        let counted = self.usage_so_far(&running);
         self.report(number, AttemptOutcome::Cancelled { counted });
     }
 
-    fn counted_so_far(&self, running: &Running) -> Usage {
+    fn usage_so_far(&self, running: &RunningAttempt) -> Usage {
         match &self.payload_source {
             PayloadSource::Chat(chat) => Usage {
                 prompt_tokens: chat.estimated_prompt_tokens,
-                completion_tokens: running.pieces_seen,
+                completion_tokens: running.chunks_received,
             },
             PayloadSource::Plain { .. } => Usage::default(),
         }
@@ -300,28 +301,29 @@
         match event {
             AttemptEvent::Head { status, headers } => {
                 running.head = Some((status, headers));
-                self.let_flow().await;
+                self.forward_pending().await;
             }
-            AttemptEvent::Chunk(piece) => {
-                running.pieces_seen += 1;
-                if running.pieces_seen == 1 {
+            AttemptEvent::Chunk(chunk) => {
+                running.chunks_received += 1;
+                if running.chunks_received == 1 {
                     self.server.metrics().first_chunk(self.arrived_at.elapsed());
                 }
-                running.waiting.push(piece);
-                self.let_flow().await;
+                running.pending_chunks.push(chunk);
+                self.forward_pending().await;
             }
             AttemptEvent::Ended { outcome, held_back } => {
                 running.held_back = held_back;
                 running.ended = true;
                 let number = running.dispatch.number;
-                let outcome = self.with_delivery(outcome);
+                let outcome = self.with_delivery_state(outcome);
                 self.report(number, outcome);
             }
         }
     }
 
-    /// Only the conductor knows whether anything has reached the caller.
-    fn with_delivery(&self, outcome: AttemptOutcome) -> AttemptOutcome {
+    /// Sets `delivered`, since only the request task knows whether the response's head was sent to
+    /// the caller.
+    fn with_delivery_state(&self, outcome: AttemptOutcome) -> AttemptOutcome {
         match outcome {
             AttemptOutcome::Incomplete { reason, counted, .. } => {
                 let delivered = self.caller.reply.is_none();
@@ -340,53 +342,60 @@
         }
         let outcome = AttemptOutcome::Incomplete {
             reason: "the attempt's task ended without a report".into(),
-            counted: self.counted_so_far(&running),
+            counted: self.usage_so_far(&running),
             delivered: self.caller.reply.is_none(),
         };
         self.report(running.dispatch.number, outcome);
     }
 
     fn on_caller_gone(&mut self) {
-        if !self.caller.gone {
-            self.caller.gone = true;
-            self.caller.pieces = None;
+        if !self.caller.disconnected {
+            self.caller.disconnected = true;
+            self.caller.chunks = None;
             self.server.handle(Event::CallerGone(self.call));
         }
     }
 
-    /// Passes on what may go out. Waits for a slow caller, and with it the back end.
-    async fn let_flow(&mut self) {
+    /// Sends the pending head and chunks if the response may start. Waits for a slow caller, which
+    /// in turn makes the back end wait.
+    async fn forward_pending(&mut self) {
         let Some(running) = &mut self.running else {
             return;
         };
-        if !self.open || running.head.is_none() && self.caller.reply.is_some() {
+        if !self.response_started || running.head.is_none() && self.caller.reply.is_some() {
             return;
         }
         if let Some((status, headers)) = running.head.take() {
             let back_end = running.dispatch.back_end.to_string();
-            self.caller.begin(status, headers, self.request, &self.server, Some(&back_end));
+            self.caller.start_response(
+                status,
+                headers,
+                self.request,
+                &self.server,
+                Some(&back_end),
+            );
         }
-        for piece in std::mem::take(&mut running.waiting) {
-            self.caller.pass(piece).await;
+        for chunk in std::mem::take(&mut running.pending_chunks) {
+            self.caller.send_chunk(chunk).await;
         }
     }
 
     async fn finish(&mut self, billed: Tokens) {
         let held_back = self.running.as_mut().map(|running| std::mem::take(&mut running.held_back));
-        for piece in held_back.unwrap_or_default() {
-            self.caller.pass(piece).await;
+        for chunk in held_back.unwrap_or_default() {
+            self.caller.send_chunk(chunk).await;
         }
         if self.stream {
-            let note = format!(": request={} billed={billed}\n\n", self.request);
-            self.caller.pass(Bytes::from(note)).await;
+            let comment = format!(": request={} billed={billed}\n\n", self.request);
+            self.caller.send_chunk(Bytes::from(comment)).await;
         }
         self.server.metrics().answered(self.arrived_at.elapsed(), billed);
     }
 
     fn replay(&mut self, answer: &StoredAnswer) {
         let mut headers = HeaderMap::new();
-        if let Ok(kind) = HeaderValue::from_str(&answer.content_type) {
-            headers.insert(header::CONTENT_TYPE, kind);
+        if let Ok(content_type) = HeaderValue::from_str(&answer.content_type) {
+            headers.insert(header::CONTENT_TYPE, content_type);
         }
         headers.insert(
             HeaderName::from_static("idempotent-replayed"),
@@ -394,10 +403,15 @@
         );
         let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
         let body = Bytes::from(answer.body.as_ref().clone());
-        let whole = Answer { status, headers, body: AnswerBody::Whole(body) };
+        let response = Answer { status, headers, body: AnswerBody::Whole(body) };
         self.server.metrics().answered(self.arrived_at.elapsed(), Tokens::ZERO);
         let back_end = self.back_end.clone();
-        self.caller.reply_with(identified(whole, self.request, &self.server, back_end.as_deref()));
+        self.caller.reply_with(with_identifying_headers(
+            response,
+            self.request,
+            &self.server,
+            back_end.as_deref(),
+        ));
     }
 
     async fn refuse(&mut self, refusal: &Refusal) {
@@ -409,20 +423,25 @@
         log::info!(request = self.request.to_string(), reason, outcome, step = "refuse"; "{}", refusal.detail);
         if self.caller.reply.is_some() {
             let answer = refusal_answer(refusal, self.request);
-            self.caller.reply_with(identified(answer, self.request, &self.server, None));
+            self.caller.reply_with(with_identifying_headers(
+                answer,
+                self.request,
+                &self.server,
+                None,
+            ));
         } else if self.stream {
             let body = serde_json::to_string(&refusal_body(refusal, self.request));
             let event = format!("data: {}\n\n", body.unwrap_or_default());
-            self.caller.pass(Bytes::from(event)).await;
+            self.caller.send_chunk(Bytes::from(event)).await;
         } else {
             self.caller.abort().await;
         }
     }
 }
 
-impl CallerSide {
-    /// Sends the head of an answer whose body follows piece by piece.
-    fn begin(
+impl CallerConnection {
+    /// Sends the head of a response whose body follows in chunks.
+    fn start_response(
         &mut self,
         status: StatusCode,
         headers: HeaderMap,
@@ -430,37 +449,37 @@
         server: &RouterServer,
         back_end: Option<&str>,
     ) {
-        let (sender, pieces) = mpsc::channel(PIECES_AHEAD);
-        self.pieces = Some(sender);
-        let answer = Answer { status, headers, body: AnswerBody::Stream(pieces) };
-        self.reply_with(identified(answer, request, server, back_end));
+        let (sender, chunks) = mpsc::channel(CALLER_CHANNEL_CAPACITY);
+        self.chunks = Some(sender);
+        let answer = Answer { status, headers, body: AnswerBody::Stream(chunks) };
+        self.reply_with(with_identifying_headers(answer, request, server, back_end));
     }
 
     fn reply_with(&mut self, answer: Answer) {
         if let Some(reply) = self.reply.take() {
-            // An error means that the caller has gone, which is noticed elsewhere.
+            // An error means that the caller has disconnected, which the caller check detects.
             let _ = reply.send(answer);
         }
     }
 
-    async fn pass(&mut self, piece: Bytes) {
-        if let Some(pieces) = &self.pieces
-            && pieces.send(Ok(piece)).await.is_err()
+    async fn send_chunk(&mut self, chunk: Bytes) {
+        if let Some(chunks) = &self.chunks
+            && chunks.send(Ok(chunk)).await.is_err()
         {
-            self.pieces = None;
+            self.chunks = None;
         }
     }
 
-    /// Ends the answer so that it can't be taken for whole.
+    /// Aborts the response, so that the caller can't take it for complete.
     async fn abort(&mut self) {
-        if let Some(pieces) = self.pieces.take() {
-            let _ = pieces.send(Err(BodyAborted)).await;
+        if let Some(chunks) = self.chunks.take() {
+            let _ = chunks.send(Err(BodyAborted)).await;
         }
     }
 }
 
-/// Adds the names by which an answer can be asked about.
-fn identified(
+/// Adds the headers that identify the request, its trace and its back end.
+fn with_identifying_headers(
     answer: Answer,
     request: RequestId,
     server: &RouterServer,
@@ -476,7 +495,7 @@
     }
 }
 
-async fn next_event(running: &mut Option<Running>) -> Option<AttemptEvent> {
+async fn next_attempt_event(running: &mut Option<RunningAttempt>) -> Option<AttemptEvent> {
     match running {
         Some(running) if !running.ended => running.events.recv().await,
         _ => std::future::pending().await,
--- a/crates/router/src/server.rs
+++ b/crates/router/src/server.rs
@@ -1,4 +1,4 @@
-//! Runs the state machine and carries out its effects.
+//! Runs the state machine and applies its effects.
 
 use crate::metrics::Metrics;
 use crate::poll;
@@ -17,9 +17,9 @@
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 use tokio::sync::{Notify, mpsc};
 
-/// The process around the state machine.
+/// The state machine with its connections, clients and metrics.
 pub struct RouterServer {
-    started: Instant,
+    started_at: Instant,
     entry: MachineEntry,
     options: RouterOptions,
     control: HashMap<MachineName, SocketAddr>,
@@ -41,7 +41,7 @@
 }
 
 impl RouterServer {
-    /// Sets the process up. Must be called inside a Tokio runtime.
+    /// Creates the server. Must be called inside a Tokio runtime.
     pub fn new(settings: &FleetSettings, entry: &MachineEntry, metrics: Metrics) -> Arc<Self> {
         let replicas: Vec<MachineName> =
             settings.replicas().map(|(machine, _)| machine.name.clone()).collect();
@@ -49,11 +49,11 @@
             .replicas()
             .map(|(machine, control)| (machine.name.clone(), control.peer))
             .collect();
-        let config = new_life(entry, replicas, settings.platform.is_some());
+        let config = incarnation_config(entry, replicas, settings.platform.is_some());
         let outbox = Outbox::new(Peer::Router(config.node.clone()));
         let router = Router::new(config, Timestamp(0));
         Arc::new(Self {
-            started: Instant::now(),
+            started_at: Instant::now(),
             entry: entry.clone(),
             options: settings.router.clone(),
             control,
@@ -90,51 +90,53 @@
         &self.metrics
     }
 
-    /// The runtime on which requests are worked on.
+    /// The runtime that runs the request tasks.
     pub fn runtime(&self) -> &tokio::runtime::Handle {
         &self.runtime
     }
 
-    /// A client for back ends. Requests that may not be repeated get a connection of their own.
+    /// A client for back ends. Without a pool every request gets its own connection, as requests
+    /// that may not be retried need.
     pub fn client(&self, pooled: bool) -> Client {
         if pooled { self.pooled.clone() } else { self.unpooled.clone() }
     }
 
-    /// Looks at the state machine.
-    pub fn inspect<T>(&self, look: impl FnOnce(&Router) -> T) -> T {
-        look(&self.lock().router)
+    /// Reads the state machine under the lock.
+    pub fn inspect<T>(&self, read: impl FnOnce(&Router) -> T) -> T {
+        read(&self.lock().router)
     }
 
-    /// Registers a new request; its signals arrive at `signals`.
+    /// Registers a new request; its signals are sent to `signals`.
     pub fn register(&self, signals: mpsc::UnboundedSender<Signal>) -> CallId {
         let call = CallId(self.next_call.fetch_add(1, Ordering::Relaxed));
         self.lock().calls.insert(call, signals);
         call
     }
 
-    /// Forgets a request that is finished.
+    /// Removes a finished request.
     pub fn unregister(&self, call: CallId) {
         self.lock().calls.remove(&call);
     }
 
-    /// Lets the state machine take in an event and carries out what it asks for. Effects are
-    /// carried out under the lock, so that they keep their order; none of them waits.
+    /// Passes an event to the state machine and applies the effects. Effects are applied under the
+    /// lock, so that they keep their order; none of them blocks.
     pub fn handle(&self, event: Event) {
         let mut core = self.lock();
         let effects = core.router.handle(self.now(), wall_time(), event);
         for effect in effects {
-            self.carry_out(&mut core, effect);
+            self.apply_effect(&mut core, effect);
         }
     }
 
-    /// Takes in a parcel from another process of the fleet.
+    /// Handles a message batch from another process of the fleet. A batch for another incarnation
+    /// is dropped.
     pub fn receive(&self, batch: MessageBatch) {
         let MessageBatch { from, to, messages } = batch;
-        let mine = match &to {
+        let addressed_here = match &to {
             Peer::Router(node) => self.inspect(|router| router.node() == node),
             Peer::Control(_) => false,
         };
-        if !mine {
+        if !addressed_here {
             return;
         }
         for message in messages {
@@ -153,13 +155,13 @@
         self.draining.load(Ordering::Relaxed)
     }
 
-    /// Returns once a planned stop has come to its end.
+    /// Returns once a planned stop has finished.
     pub async fn drained(&self) {
         self.drained.notified().await;
     }
 
-    /// Whether callers' connections are still being served.
-    pub fn open_calls(&self) -> usize {
+    /// Number of registered requests.
+    pub fn open_call_count(&self) -> usize {
         self.lock().calls.len()
     }
 
@@ -168,18 +170,18 @@
     }
 
     fn now(&self) -> Timestamp {
-        // Zero stands for "never" in timers, so the clock starts a little later.
-        Timestamp(self.started.elapsed().as_millis() as u64 + 1_000)
+        // Zero means "never" in timers, so the clock starts at 1 s.
+        Timestamp(self.started_at.elapsed().as_millis() as u64 + 1_000)
     }
 
-    fn carry_out(&self, core: &mut Core, effect: Effect) {
+    fn apply_effect(&self, core: &mut Core, effect: Effect) {
         match effect {
             Effect::Send { to, message } => {
                 if let Some(address) = self.address_of(&core.router, &to) {
                     self.outbox.send(address, to, message);
                 }
             }
-            Effect::Dispatch(dispatch) => signal(core, dispatch.call, dispatched(dispatch)),
+            Effect::Dispatch(dispatch) => signal(core, dispatch.call, dispatch_signal(dispatch)),
             Effect::Cancel { call, number } => signal(core, call, Signal::Cancel(number)),
             Effect::StartResponse(call) => signal(core, call, Signal::StartResponse),
             Effect::Finish { call, billed } => signal(core, call, Signal::Finish(billed)),
@@ -187,21 +189,21 @@
             Effect::Refuse { call, refusal } => signal(core, call, Signal::Refuse(refusal)),
             Effect::Dropped(call) => signal(core, call, Signal::Dropped),
             Effect::QueryUsage { account, request, back_end, address } => {
-                log::info!(request = request.to_string(), peer = back_end.to_string(), step = "usage"; "asks what the request used");
+                log::info!(request = request.to_string(), peer = back_end.to_string(), step = "usage"; "querying the usage of the request");
                 let query = poll::UsageQuery { account, request, address };
                 self.runtime.spawn(poll::query_usage(self.pooled.clone(), query));
             }
-            Effect::Fenced => self.begin_new_life(core),
+            Effect::Fenced => self.begin_incarnation(core),
             Effect::Drained => self.drained.notify_one(),
             Effect::Warn(text) => log::warn!(zone = self.entry.zone.to_string(); "{text}"),
         }
     }
 
-    /// Another node has taken over; this process goes on as a new one would.
-    fn begin_new_life(&self, core: &mut Core) {
+    /// Another node has taken the account over; this process continues as a new incarnation.
+    fn begin_incarnation(&self, core: &mut Core) {
         let replicas = self.control.keys().cloned().collect();
-        let config = new_life(&self.entry, replicas, self.has_platform);
-        log::warn!(node = config.node.to_string(), step = "fence"; "the account was taken over: goes on as a new life");
+        let config = incarnation_config(&self.entry, replicas, self.has_platform);
+        log::warn!(node = config.node.to_string(), step = "fence"; "the account was taken over: continuing as a new incarnation");
         self.outbox.set_sender(Peer::Router(config.node.clone()));
         let empty = Router::new(config.clone(), self.now());
         let ended = std::mem::replace(&mut core.router, empty);
@@ -221,18 +223,18 @@
     }
 }
 
-fn dispatched(dispatch: Dispatch) -> Signal {
+fn dispatch_signal(dispatch: Dispatch) -> Signal {
     Signal::Dispatch(dispatch)
 }
 
 fn signal(core: &Core, call: CallId, signal: Signal) {
     if let Some(signals) = core.calls.get(&call) {
-        // A request whose task has ended needs no signals.
+        // An error means that the request task has ended and needs no signals.
         let _ = signals.send(signal);
     }
 }
 
-fn new_life(
+fn incarnation_config(
     entry: &MachineEntry,
     mut control: Vec<MachineName>,
     has_platform: bool,
@@ -247,8 +249,8 @@
     }
 }
 
-/// The wall clock, for bills and logs.
+/// The current wall-clock time, for bills and logs.
 pub fn wall_time() -> WallTime {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    WallTime(since.as_millis() as u64)
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    WallTime(since_epoch.as_millis() as u64)
 }
--- a/crates/router/src/sse.rs
+++ b/crates/router/src/sse.rs
@@ -2,14 +2,15 @@
 
 use stackpost_http::Bytes;
 
-/// Gathers bytes until whole events are there.
+/// Buffers bytes until complete events are available.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     pending: Vec<u8>,
 }
 
 impl EventSplitter {
-    /// Adds bytes and takes the events that are now whole, each with its closing blank line.
+    /// Appends bytes and returns the events that are now complete, each with its terminating blank
+    /// line.
     pub fn push(&mut self, bytes: &[u8]) -> Vec<Bytes> {
         self.pending.extend_from_slice(bytes);
         let mut events = Vec::new();
@@ -20,18 +21,18 @@
         events
     }
 
-    /// Whether an event has begun but not ended.
+    /// Whether the buffer holds an incomplete event.
     pub fn has_partial_event(&self) -> bool {
         !self.pending.is_empty()
     }
 }
 
-/// Position after the first blank line.
+/// The position after the first blank line.
 fn end_of_event(bytes: &[u8]) -> Option<usize> {
-    let unix = bytes.windows(2).position(|pair| pair == b"\n\n").map(|at| at + 2);
-    let dos = bytes.windows(4).position(|four| four == b"\r\n\r\n").map(|at| at + 4);
-    match (unix, dos) {
-        (Some(unix), Some(dos)) => Some(unix.min(dos)),
+    let lf = bytes.windows(2).position(|pair| pair == b"\n\n").map(|at| at + 2);
+    let crlf = bytes.windows(4).position(|window| window == b"\r\n\r\n").map(|at| at + 4);
+    match (lf, crlf) {
+        (Some(lf), Some(crlf)) => Some(lf.min(crlf)),
         (found, None) | (None, found) => found,
     }
 }
--- a/crates/router/tests/parsing.rs
+++ b/crates/router/tests/parsing.rs
@@ -1,4 +1,4 @@
-//! Headers, events and request bodies as the router reads them.
+//! Parsing of headers, server-sent events and request bodies.
 
 use stackpost_http::{HeaderMap, HeaderName, HeaderValue};
 use stackpost_router::attempt::strip_hop_by_hop_headers;
@@ -7,7 +7,7 @@
 use stackpost_router_core::Target;
 
 #[test]
-fn headers_of_one_connection_are_not_passed_on() {
+fn hop_by_hop_headers_are_not_forwarded() {
     let mut headers = HeaderMap::new();
     let pairs = [
         ("connection", "keep-alive, X-Private"),
@@ -22,32 +22,32 @@
     for (name, value) in pairs {
         headers.append(HeaderName::from_static(name), HeaderValue::from_static(value));
     }
-    let kept = strip_hop_by_hop_headers(headers);
-    let mut names: Vec<&str> = kept.keys().map(HeaderName::as_str).collect();
+    let forwarded = strip_hop_by_hop_headers(headers);
+    let mut names: Vec<&str> = forwarded.keys().map(HeaderName::as_str).collect();
     names.sort_unstable();
     assert_eq!(names, ["content-length", "x-public"]);
 }
 
 #[test]
-fn events_are_whole_wherever_the_bytes_are_split() {
+fn events_are_reassembled_at_every_split_point() {
     let text = "data: one\n\n: comment\n\ndata: a\r\ndata: b\r\n\r\ndata: [DO";
-    for cut in 0..text.len() {
+    for split in 0..text.len() {
         let mut splitter = EventSplitter::default();
-        let mut events = splitter.push(&text.as_bytes()[..cut]);
-        events.extend(splitter.push(&text.as_bytes()[cut..]));
+        let mut events = splitter.push(&text.as_bytes()[..split]);
+        events.extend(splitter.push(&text.as_bytes()[split..]));
         let data: Vec<Option<String>> = events.iter().map(|event| event_data(event)).collect();
-        assert_eq!(data, [Some("one".into()), None, Some("a\nb".into())], "cut at {cut}");
+        assert_eq!(data, [Some("one".into()), None, Some("a\nb".into())], "split at {split}");
         assert!(splitter.has_partial_event());
     }
 }
 
 #[test]
-fn a_request_is_bounded_and_the_engine_is_told() {
+fn cost_bound_is_computed_and_token_limit_sent_to_engine() {
     let body = r#"{"model":"m","stream":true,"max_completion_tokens":7,"custom":1,
         "messages":[{"role":"user","content":"0123456789"}]}"#;
     let chat = ChatRequest::parse(body.as_bytes()).expect("a request");
     let Target::Chat { prompt_tokens, max_tokens, .. } = &chat.target else { panic!() };
-    // "user\n" + ten bytes + "\n" and what a template may add.
+    // "user\n", ten bytes, "\n" and the 16 tokens that a chat template may add.
     assert_eq!((*prompt_tokens, *max_tokens), (5 + 10 + 1 + 16, Some(7)));
     assert!(!chat.wants_usage);
     let sent: String = String::from_utf8_lossy(&chat.engine_body(Some(7))).into_owned();
