--- a/crates/router/src/api.rs
+++ b/crates/router/src/api.rs
@@ -162,8 +162,8 @@
             // Aborts the body, so that the back end can't take it for complete.
             _ => Err(BodyAborted),
         };
-        let is_last = checked.is_err();
-        if chunks.send(checked).await.is_err() || is_last {
+        let aborted = checked.is_err();
+        if chunks.send(checked).await.is_err() || aborted {
             return;
         }
     }
