--- a/crates/control-core/src/configuration.rs
+++ b/crates/control-core/src/configuration.rs
@@ -1,4 +1,4 @@
-//! Bringing the configuration to the routers.
+//! Delivery of the configuration to the routers.
 
 use crate::replica::Replica;
 use stackpost_consensus::ReadConfirmed;
@@ -7,12 +7,13 @@
 use stackpost_types::*;
 use std::collections::BTreeMap;
 
-/// Time before a delta that was not taken up is sent again.
-const PUSH_AGAIN_AFTER: Millis = Millis(300);
-/// How much later than the leader a follower steps in for a router that is behind.
-const FOLLOWER_DELAY: Millis = Millis(700);
+/// Time after which a delta that the router has not applied is resent.
+const PUSH_RETRY_INTERVAL: Millis = Millis(300);
+/// Time that a router must be behind before a follower sends it the configuration. It gives the
+/// leader time to send it first.
+const FOLLOWER_PUSH_DELAY: Millis = Millis(700);
 
-/// What was pushed to whom.
+/// Configuration deliveries in progress.
 #[derive(Debug, Default)]
 pub(crate) struct Pushes {
     pushed: BTreeMap<NodeId, (Version, Timestamp)>,
@@ -22,52 +23,52 @@
 }
 
 impl<D: Disk> Replica<D> {
-    /// Sends the router what it lacks. The leader does so at once, the others only if the router
-    /// stays behind, as one does that can't reach the leader.
+    /// Sends the router the configuration changes that it lacks. The leader sends them at once,
+    /// followers only if the router stays behind, as it does when it can't reach the leader.
     pub(crate) fn push_if_behind(&mut self, node: &NodeId) {
         let current = self.state.table().version();
         let Some(observed) = self.liveness.observed.get(node) else {
             return;
         };
-        // A life that is over takes nothing up any more.
+        // An incarnation that has ended applies nothing.
         if !self.is_newest_incarnation(node) {
             return;
         }
-        let have = observed.version;
-        if have >= current {
+        let router_version = observed.version;
+        if router_version >= current {
             self.pushes.behind_since.remove(node);
             return;
         }
         let now = self.now;
         let since = *self.pushes.behind_since.entry(node.clone()).or_insert(now);
-        if !self.is_leader() && now.since(since) < FOLLOWER_DELAY {
+        if !self.is_leader() && now.since(since) < FOLLOWER_PUSH_DELAY {
             return;
         }
-        if have == Version(0) {
+        if router_version == Version(0) {
             self.confirm_first_configuration(node);
             return;
         }
-        let repeated =
-            self.pushes.pushed.get(node).is_some_and(|(version, at)| {
-                *version >= current && now.since(*at) < PUSH_AGAIN_AFTER
-            });
-        if repeated {
+        let recently_pushed = self.pushes.pushed.get(node).is_some_and(|(version, at)| {
+            *version >= current && now.since(*at) < PUSH_RETRY_INTERVAL
+        });
+        if recently_pushed {
             return;
         }
         self.pushes.pushed.insert(node.clone(), (current, now));
-        let delta = self.state.table().delta_since(have);
+        let delta = self.state.table().delta_since(router_version);
         let message = Message::Configuration { confirmed: false, delta };
         self.send(Peer::Router(node.clone()), message);
     }
 
-    /// A router without a configuration may have had a newer one in an earlier life than this
-    /// replica has now. So its first one is sent only after a majority has confirmed that this
-    /// replica leads, hence that nothing newer was ever accepted.
+    /// Starts a linearizable read before a router is sent its first configuration. An earlier
+    /// incarnation of the router may have had a newer configuration than this replica, so a
+    /// majority must first confirm that this replica leads, and thus that no newer configuration
+    /// has been committed.
     fn confirm_first_configuration(&mut self, node: &NodeId) {
         let now = self.now;
-        self.pushes.reads.retain(|_, (_, at)| now.since(*at) < PUSH_AGAIN_AFTER);
-        let asked = self.pushes.reads.values().any(|(other, _)| other == node);
-        if asked {
+        self.pushes.reads.retain(|_, (_, at)| now.since(*at) < PUSH_RETRY_INTERVAL);
+        let read_pending = self.pushes.reads.values().any(|(other, _)| other == node);
+        if read_pending {
             return;
         }
         self.pushes.next_read += 1;
--- a/crates/control-core/src/lib.rs
+++ b/crates/control-core/src/lib.rs
@@ -1,8 +1,8 @@
-//! The control replica's decisions as one state machine without sockets or timers.
+//! The control replica's logic as a state machine without sockets or timers.
 //!
 //! [`Replica::handle`] takes the time and a [`ControlEvent`] and returns [`ControlEffect`]s. It
-//! drives Raft, keeps its log through a [`Disk`](stackpost_storage::Disk), applies committed
-//! commands, follows which routers are alive, decides when an account changes hands, brings the
+//! drives Raft, stores its log through a [`Disk`](stackpost_storage::Disk), applies committed
+//! commands, tracks which routers are alive, decides when an account changes its owner, sends the
 //! configuration to the routers, stores their bills and sends orders to engines.
 
 mod bill_store;
--- a/crates/control-core/src/liveness.rs
+++ b/crates/control-core/src/liveness.rs
@@ -1,4 +1,4 @@
-//! Which routers are alive, and when an account changes hands.
+//! Liveness of the routers, and changes of account ownership that follow from it.
 
 use crate::replica::Replica;
 use serde::{Deserialize, Serialize};
@@ -8,22 +8,22 @@
 use stackpost_types::*;
 use std::collections::BTreeMap;
 
-/// Time before the same proposal is made again.
-const PROPOSE_AGAIN_AFTER: Millis = Millis(500);
-/// Silence after which a life of a router is forgotten.
-const FORGET_AFTER: Millis = Millis(60_000);
+/// Time before the same proposal is repeated.
+const PROPOSAL_RETRY_INTERVAL: Millis = Millis(500);
+/// Time without a heartbeat after which the state of a router incarnation is dropped.
+const OBSERVATION_RETENTION: Millis = Millis(60_000);
 
-/// A router life as this replica hears it.
+/// State of a router incarnation according to its last heartbeat.
 #[derive(Clone, Debug)]
 pub(crate) struct ObservedRouter {
     pub zone: ZoneName,
     pub version: Version,
-    pub heard_at: Timestamp,
+    pub last_heartbeat_at: Timestamp,
     silent_owners: Vec<AccountId>,
     leaving: bool,
 }
 
-/// Router lives and what was proposed about them.
+/// Observed router incarnations and recent proposals about them.
 #[derive(Debug, Default)]
 pub(crate) struct Liveness {
     pub observed: BTreeMap<NodeId, ObservedRouter>,
@@ -38,19 +38,19 @@
     Return(BudgetName, AccountId, Tokens),
 }
 
-/// How far a version has got in one zone.
+/// How many routers of one zone have a version of the configuration in force.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneProgress {
     /// The zone.
     pub zone: ZoneName,
-    /// Routers heard from within the timeout.
+    /// Routers whose last heartbeat is within the timeout.
     pub routers: usize,
-    /// Those that have the version in force.
+    /// Routers that have the version, or a newer one, in force.
     pub in_force: usize,
 }
 
 impl Liveness {
-    pub fn expect_bill_confirmation(&mut self, account: &AccountId, node: NodeId) {
+    pub fn record_bill_sender(&mut self, account: &AccountId, node: NodeId) {
         self.bill_senders.insert(account.clone(), node);
     }
 
@@ -58,47 +58,48 @@
         self.bill_senders.remove(account)
     }
 
-    /// Notes a proposal; false if the same was made a moment ago.
+    /// Records a proposal. Returns false if the same one was made within the retry interval.
     fn may_propose(&mut self, now: Timestamp, proposal: Proposal) -> bool {
-        let again =
-            self.proposed.get(&proposal).is_none_or(|at| now.since(*at) >= PROPOSE_AGAIN_AFTER);
-        if again {
+        let allowed =
+            self.proposed.get(&proposal).is_none_or(|at| now.since(*at) >= PROPOSAL_RETRY_INTERVAL);
+        if allowed {
             self.proposed.insert(proposal, now);
         }
-        again
+        allowed
     }
 
-    fn forget_old(&mut self, now: Timestamp) {
-        self.observed.retain(|_, observed| now.since(observed.heard_at) < FORGET_AFTER);
-        self.proposed.retain(|_, at| now.since(*at) < PROPOSE_AGAIN_AFTER);
+    fn expire(&mut self, now: Timestamp) {
+        self.observed
+            .retain(|_, observed| now.since(observed.last_heartbeat_at) < OBSERVATION_RETENTION);
+        self.proposed.retain(|_, at| now.since(*at) < PROPOSAL_RETRY_INTERVAL);
     }
 }
 
-/// What is known of a node that an account depends on.
+/// Liveness of a node that an account depends on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Health {
-    /// Heard from within the timeout.
+    /// The last heartbeat is within the timeout.
     Alive,
-    /// Not heard from; it may be cut off and at work.
+    /// No heartbeat within the timeout; the node may be partitioned and still running.
     Silent,
-    /// Its machine has started another life, or left the table: it can't be at work any more.
-    Gone,
+    /// Its machine has started another incarnation or left the table: the node no longer runs.
+    Ended,
 }
 
 impl<D: Disk> Replica<D> {
-    pub(crate) fn on_heartbeat(&mut self, node: NodeId, beat: Heartbeat) {
+    pub(crate) fn on_heartbeat(&mut self, node: NodeId, heartbeat: Heartbeat) {
         let observed = ObservedRouter {
-            zone: beat.zone,
-            version: beat.version,
-            heard_at: self.now,
-            silent_owners: beat.silent_owners,
-            leaving: beat.leaving,
+            zone: heartbeat.zone,
+            version: heartbeat.version,
+            last_heartbeat_at: self.now,
+            silent_owners: heartbeat.silent_owners,
+            leaving: heartbeat.leaving,
         };
         self.liveness.observed.insert(node.clone(), observed);
         self.push_if_behind(&node);
     }
 
-    /// How far `version` has got, by zone.
+    /// Number of live routers that have `version` in force, by zone.
     pub fn progress(&self, version: Version) -> Vec<ZoneProgress> {
         let mut zones: BTreeMap<ZoneName, ZoneProgress> = BTreeMap::new();
         for (key, _) in self.state.table().rows() {
@@ -120,14 +121,15 @@
     }
 
     pub(crate) fn tick_liveness(&mut self) {
-        self.liveness.forget_old(self.now);
+        self.liveness.expire(self.now);
         let Some(leader_since) = self.raft.leader_since() else {
             return;
         };
         self.open_accounts();
-        // A new leader has to listen for a while before silence means anything.
+        // A new leader has received no heartbeats yet, so silence means nothing until a whole
+        // timeout has passed.
         if self.now.since(leader_since) >= self.router_timeout() {
-            self.judge_accounts();
+            self.propose_ownership_changes();
         }
     }
 
@@ -143,8 +145,8 @@
             .liveness
             .observed
             .iter()
-            // A machine that is not in the table counts as gone: its account would be taken from
-            // it at once, again and again.
+            // A machine that is not in the table counts as ended: its account would be taken
+            // away as soon as it was opened, time after time.
             .filter(|(node, _)| self.is_in_table(&node.machine))
             .filter(|(node, observed)| !observed.leaving && self.is_newest_incarnation(node))
             .map(|(node, observed)| (AccountId::mirrored(node), observed.zone.clone()))
@@ -159,14 +161,16 @@
         }
     }
 
-    /// Whether no later life of the node's machine has been heard from.
+    /// Whether no other incarnation on the node's machine has sent a later heartbeat.
     pub(crate) fn is_newest_incarnation(&self, node: &NodeId) -> bool {
         let Some(own) = self.liveness.observed.get(node) else {
             return false;
         };
-        let lives =
+        let incarnations =
             self.liveness.observed.iter().filter(|(other, _)| other.machine == node.machine);
-        lives.into_iter().all(|(_, observed)| observed.heard_at <= own.heard_at)
+        incarnations
+            .into_iter()
+            .all(|(_, observed)| observed.last_heartbeat_at <= own.last_heartbeat_at)
     }
 
     fn is_in_table(&self, machine: &MachineName) -> bool {
@@ -175,33 +179,34 @@
 
     fn health(&self, node: &NodeId) -> Health {
         if !self.is_in_table(&node.machine) {
-            return Health::Gone;
+            return Health::Ended;
         }
-        let heard = self.liveness.observed.get(node).map(|observed| observed.heard_at);
+        let last_heartbeat =
+            self.liveness.observed.get(node).map(|observed| observed.last_heartbeat_at);
         let replaced = self.liveness.observed.iter().any(|(other, observed)| {
             other.machine == node.machine
                 && other.incarnation != node.incarnation
-                && heard.is_none_or(|at| observed.heard_at > at)
+                && last_heartbeat.is_none_or(|at| observed.last_heartbeat_at > at)
         });
         if replaced {
-            return Health::Gone;
+            return Health::Ended;
         }
-        match heard {
+        match last_heartbeat {
             Some(at) if self.now.since(at) < self.router_timeout() => Health::Alive,
             _ => Health::Silent,
         }
     }
 
-    /// Decides for every account whether it has to change hands.
-    fn judge_accounts(&mut self) {
-        let verdicts: Vec<Command> = self
+    /// Proposes a change for every account whose ownership has to change.
+    fn propose_ownership_changes(&mut self) {
+        let commands: Vec<Command> = self
             .state
             .table()
             .accounts()
             .filter(|(_, row)| row.state != AccountState::Lost)
-            .filter_map(|(account, row)| self.judge(account, row))
+            .filter_map(|(account, row)| self.ownership_change(account, row))
             .collect();
-        for command in verdicts {
+        for command in commands {
             let proposal = match &command {
                 Command::Seal { account, expected } | Command::MarkLost { account, expected } => {
                     Proposal::Change(account.clone(), *expected)
@@ -214,33 +219,36 @@
         }
     }
 
-    /// An account is taken from its owner only if the owner is gone, leaves, or is silent both
-    /// here and to the backup: an owner that has merely lost sight of the control plane goes on.
-    fn judge(&self, account: &AccountId, row: &AccountRow) -> Option<Command> {
+    /// The command that changes the account's ownership, if it has to change.
+    ///
+    /// The backup takes an account over only if the owner has ended, is leaving, or is silent both
+    /// to this replica and to the backup: an owner that is disconnected from the control plane
+    /// alone keeps its account.
+    fn ownership_change(&self, account: &AccountId, row: &AccountRow) -> Option<Command> {
         let (account, expected) = (account.clone(), row.epoch);
         let owner = self.health(&row.owner);
         let leaving =
             self.liveness.observed.get(&row.owner).is_some_and(|observed| observed.leaving);
         let Some(backup) = &row.backup else {
-            return (owner == Health::Gone).then_some(Command::MarkLost { account, expected });
+            return (owner == Health::Ended).then_some(Command::MarkLost { account, expected });
         };
         let backup_health = self.health(backup);
-        let backup_agrees = self
+        let backup_reports_silence = self
             .liveness
             .observed
             .get(backup)
             .is_some_and(|observed| observed.silent_owners.contains(&account))
             || self.config.defects.seal_without_backup_consent;
         let seal = match owner {
-            Health::Gone => backup_health == Health::Alive,
-            Health::Silent => backup_health == Health::Alive && backup_agrees,
+            Health::Ended => backup_health == Health::Alive,
+            Health::Silent => backup_health == Health::Alive && backup_reports_silence,
             Health::Alive => leaving && backup_health == Health::Alive,
         };
         if seal {
             return Some(Command::Seal { account, expected });
         }
-        let both_gone = owner == Health::Gone && backup_health == Health::Gone;
-        both_gone.then_some(Command::MarkLost { account, expected })
+        let both_ended = owner == Health::Ended && backup_health == Health::Ended;
+        both_ended.then_some(Command::MarkLost { account, expected })
     }
 
     pub(crate) fn on_change_backup(&mut self, account: AccountId, epoch: Epoch, backup: NodeId) {
@@ -248,9 +256,9 @@
             Some(Row::Account(row)) => row.epoch,
             _ => return,
         };
-        let fresh = current == epoch
+        let should_propose = current == epoch
             && self.liveness.may_propose(self.now, Proposal::Change(account.clone(), epoch));
-        if fresh {
+        if should_propose {
             self.propose(&Command::ChangeBackup { account, expected: epoch, backup });
         }
     }
--- a/crates/control-core/src/orders.rs
+++ b/crates/control-core/src/orders.rs
@@ -1,10 +1,10 @@
-//! Orders to engines: which models to hold and which role to play.
+//! Orders to engines: which models to load and which role to take.
 //!
-//! Orders state the whole wanted state, so that repeating one does no harm. Each carries a
+//! An order carries the whole desired state, so that it is idempotent. Each order carries a
 //! fencing token (Kleppmann, "How to do distributed locking", 2016): the leader's term and the
-//! row's version. Engines that check it refuse an older one. For those that don't, a new leader
-//! waits until its predecessor's lease must have ended, and every leader orders only while its
-//! own lease runs.
+//! row's version. Engines that check the token refuse an older one. For engines that don't, a new
+//! leader waits until its predecessor's lease must have expired, and every leader sends orders
+//! only while it holds its own lease.
 
 use crate::replica::{ControlEffect, Replica};
 use serde::{Deserialize, Serialize};
@@ -13,23 +13,23 @@
 use stackpost_types::*;
 use std::collections::BTreeMap;
 
-/// Orders under way at once: loading takes weights from a store that limits its rate.
-const ORDERS_AT_ONCE: usize = 2;
-/// Time after which an unanswered order is sent again.
+/// Orders in progress at once. Loading reads weights from a store that limits its rate.
+const MAX_CONCURRENT_ORDERS: usize = 2;
+/// Time after which an unanswered order is resent.
 const ORDER_TIMEOUT: Millis = Millis(10_000);
-/// Time after which a refused order is sent again.
-const RETRY_AFTER: Millis = Millis(2_000);
+/// Time after which a failed order is resent.
+const RETRY_DELAY: Millis = Millis(2_000);
 
-/// The state an engine is ordered into.
+/// The desired state of an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineOrder {
     /// First part of the fencing token: the leader's term.
     pub term: u64,
     /// Second part: the version of the back end's row.
     pub version: Version,
-    /// Models, adapters and versions to hold.
+    /// Models, adapters and versions to load.
     pub models: Vec<ModelName>,
-    /// Role to play.
+    /// Role to take.
     pub role: EngineRole,
 }
 
@@ -40,7 +40,7 @@
     Failed { at: Timestamp },
 }
 
-/// How far each engine's order has got.
+/// Progress of each engine's newest order.
 #[derive(Debug, Default)]
 pub(crate) struct Orders {
     progress: BTreeMap<BackEndName, Progress>,
@@ -53,15 +53,15 @@
             return;
         };
         let now = self.now;
-        let under_way = |progress: &&Progress| matches!(progress, Progress::Sent { at, .. } if now.since(*at) < ORDER_TIMEOUT);
-        let mut free =
-            ORDERS_AT_ONCE.saturating_sub(self.orders.progress.values().filter(under_way).count());
-        for (back_end, address, order) in self.wanted_orders() {
-            if free == 0 {
+        let in_progress = |progress: &&Progress| matches!(progress, Progress::Sent { at, .. } if now.since(*at) < ORDER_TIMEOUT);
+        let mut available = MAX_CONCURRENT_ORDERS
+            .saturating_sub(self.orders.progress.values().filter(in_progress).count());
+        for (back_end, address, order) in self.desired_orders() {
+            if available == 0 {
                 return;
             }
             if self.is_due(&back_end, &order) {
-                free -= 1;
+                available -= 1;
                 let sent = Progress::Sent { order: order.clone(), at: now };
                 self.orders.progress.insert(back_end.clone(), sent);
                 self.effects.push(ControlEffect::Order { back_end, address, order, not_after });
@@ -69,19 +69,19 @@
         }
     }
 
-    /// Until when orders may leave; `None` if this replica must not order now.
+    /// Time until which orders may be sent; `None` if this replica must not send any now.
     fn order_deadline(&self) -> Option<Timestamp> {
         if self.config.defects.skip_lease {
             return self.is_leader().then_some(Timestamp(u64::MAX));
         }
         let leader_since = self.raft.leader_since()?;
         let lease = self.raft.lease_until()?;
-        let predecessor_done =
+        let predecessor_lease_end =
             leader_since + self.config.election_timeout + self.config.lease_margin;
-        (self.now >= predecessor_done && self.now < lease).then_some(lease)
+        (self.now >= predecessor_lease_end && self.now < lease).then_some(lease)
     }
 
-    fn wanted_orders(&self) -> Vec<(BackEndName, std::net::SocketAddr, EngineOrder)> {
+    fn desired_orders(&self) -> Vec<(BackEndName, std::net::SocketAddr, EngineOrder)> {
         let term = self.raft.term();
         let table = self.state.table();
         table
@@ -107,7 +107,7 @@
             Some(Progress::Done { term, version }) => {
                 (*term, *version) != (order.term, order.version)
             }
-            Some(Progress::Failed { at }) => self.now.since(*at) >= RETRY_AFTER,
+            Some(Progress::Failed { at }) => self.now.since(*at) >= RETRY_DELAY,
             Some(Progress::Sent { order: sent, at }) => {
                 sent != order || self.now.since(*at) >= ORDER_TIMEOUT
             }
@@ -130,7 +130,8 @@
         let progress = match result {
             Ok(()) => Progress::Done { term: order.term, version: order.version },
             Err(reason) => {
-                let text = format!("order to {back_end} ({:?}): {reason}", order.models);
+                let text =
+                    format!("order to {back_end} (models {:?}) failed: {reason}", order.models);
                 self.effects.push(ControlEffect::Warn(text));
                 Progress::Failed { at: self.now }
             }
--- a/crates/control-core/src/replica.rs
+++ b/crates/control-core/src/replica.rs
@@ -1,4 +1,4 @@
-//! The replica: its parts, and the entry point.
+//! The control replica: its events, its effects and the entry point.
 
 use crate::bill_store::BillStore;
 use crate::configuration::Pushes;
@@ -13,63 +13,63 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Entries after which a snapshot is taken.
-const SNAPSHOT_EVERY: u64 = 500;
-/// Longest wait for an edit to be committed before the operator is told to send it again.
+/// Applied log entries between two snapshots.
+const SNAPSHOT_INTERVAL_ENTRIES: u64 = 500;
+/// Longest wait for an edit to be committed. The operator is then asked to resend it.
 const EDIT_TIMEOUT: Millis = Millis(5_000);
 
-/// Fixed facts about a replica.
+/// Configuration of a replica.
 #[derive(Clone, Debug)]
 pub struct ReplicaConfig {
-    /// The machine.
+    /// The machine that runs this replica.
     pub name: MachineName,
-    /// All replicas.
+    /// The machines of all replicas.
     pub replicas: Vec<MachineName>,
-    /// Shortest silence of the leader before a campaign.
+    /// Shortest time without a message from the leader before this replica starts an election.
     pub election_timeout: Millis,
     /// Time between two heartbeats of the leader.
     pub heartbeat_interval: Millis,
-    /// Taken off a lease's end for clocks that run at different speeds.
+    /// Subtracted from the end of a lease, to allow for clocks that run at different speeds.
     pub lease_margin: Millis,
     /// Seed for election timeouts.
     pub seed: u64,
-    /// Deliberate faults. All off in a real replica.
+    /// Faults that tests inject. All are off in production.
     pub defects: ControlDefects,
 }
 
-/// Deliberate faults that tests switch on to see that their checks notice.
+/// Faults that tests inject to verify that their checks detect them.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ControlDefects {
     /// Send orders to engines without holding the lease.
     pub skip_lease: bool,
-    /// Take an account from its owner without giving it a new epoch holder: the fence is dropped.
+    /// Seal the account of a silent owner although its backup has not reported the owner silent.
     pub seal_without_backup_consent: bool,
 }
 
-/// Names an edit that waits for its outcome.
+/// Identifies an edit whose outcome is pending.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EditToken(pub u64);
 
-/// What an operator is told.
+/// The reply to an operator's edit.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EditReply {
     /// The edit was applied, with this outcome.
     Outcome(EditOutcome),
     /// Another replica leads.
     NotLeader {
-        /// It, if known.
+        /// The leader's machine, if known.
         leader: Option<MachineName>,
     },
-    /// The edit may yet be committed; sending it again under the same id is safe.
+    /// The edit may still be committed. Resending it under the same id is safe.
     Unconfirmed,
 }
 
-/// Something that happened.
+/// An input of the state machine.
 #[derive(Clone, Debug)]
 pub enum ControlEvent {
     /// Time has passed.
     Tick,
-    /// A message came from another process of the fleet.
+    /// A message was received from another process of the fleet.
     Message {
         /// The sender.
         from: Peer,
@@ -78,7 +78,7 @@
     },
     /// An operator sent an edit.
     Edit {
-        /// Where the outcome goes.
+        /// Identifies the edit in the reply.
         token: EditToken,
         /// The edit.
         edit: Edit,
@@ -89,12 +89,12 @@
         back_end: BackEndName,
         /// The order.
         order: EngineOrder,
-        /// Whether it is in the ordered state; the error names what went wrong.
+        /// `Ok` if the engine is in the desired state, otherwise the reason for the failure.
         result: Result<(), String>,
     },
 }
 
-/// Something to be done by the process.
+/// An output of the state machine, to be carried out by the process.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ControlEffect {
     /// Send a message.
@@ -104,46 +104,46 @@
         /// The message.
         message: Message,
     },
-    /// Answer an operator.
+    /// Reply to an operator.
     EditReply {
-        /// Which edit.
+        /// Identifies the edit.
         token: EditToken,
-        /// The answer.
+        /// The reply.
         reply: EditReply,
     },
     /// Send an order to an engine.
     Order {
         /// The engine.
         back_end: BackEndName,
-        /// Where it is reached.
+        /// Address of the engine.
         address: SocketAddr,
         /// The order.
         order: EngineOrder,
-        /// The lease ends then; the order must not leave this process later.
+        /// End of the lease. The order must not be sent after it.
         not_after: Timestamp,
     },
-    /// Tell the operator.
+    /// Log a warning.
     Warn(String),
 }
 
-/// What a replica says of itself.
+/// Status that a replica reports to operators.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ControlStatus {
-    /// The machine.
+    /// The machine that runs the replica.
     pub name: MachineName,
-    /// Whether it leads, by its own belief.
+    /// Whether the replica considers itself the leader.
     pub is_leader: bool,
-    /// Whether a majority confirms that at this moment.
+    /// Whether it holds a lease, so that a majority currently confirms its leadership.
     pub has_lease: bool,
-    /// Whether its votes count.
+    /// Whether it is a voter.
     pub is_voter: bool,
-    /// The leader it knows.
+    /// The leader, if known.
     pub leader: Option<MachineName>,
-    /// Its term.
+    /// The current Raft term.
     pub term: u64,
-    /// The newest entry it has applied.
+    /// Index of the newest applied entry.
     pub version: Version,
-    /// Entries covered by its newest snapshot.
+    /// Index of the last entry that the newest snapshot covers.
     pub snapshot: u64,
 }
 
@@ -167,17 +167,17 @@
 struct PendingEdit {
     term: u64,
     token: EditToken,
-    asked_at: Timestamp,
+    proposed_at: Timestamp,
 }
 
 impl<D: Disk> Replica<D> {
-    /// Makes the data folder of a replica that takes part in a new fleet from the start.
+    /// Initializes the data folder of a replica that is an initial voter of a new fleet.
     pub fn initialize(disk: D) -> Result<(), StoreError> {
         LogStore::create(disk, INITIAL_IDENTITY).map(drop)
     }
 
-    /// Opens a replica. An empty data folder is taken for a lost one: the replica draws a new
-    /// identity from `new_identity` and counts only once the others have accepted it.
+    /// Opens a replica. An empty data folder is treated as lost: the replica takes the identity
+    /// `new_identity` and is not a voter until the other replicas have accepted that identity.
     pub fn open(
         config: ReplicaConfig,
         disk: D,
@@ -224,8 +224,8 @@
         })
     }
 
-    /// Takes in one event. An error means that the data folder can't be trusted any more: the
-    /// process must stop without sending anything.
+    /// Handles one event. An error means that the contents of the data folder are uncertain: the
+    /// process must exit without sending anything.
     pub fn handle(
         &mut self,
         now: Timestamp,
@@ -249,12 +249,12 @@
         &self.state
     }
 
-    /// The bills stored here.
+    /// The bills stored on this replica.
     pub fn bills(&self) -> &BillStore<D> {
         &self.bills
     }
 
-    /// A summary for operators.
+    /// The replica's status for operators.
     pub fn status(&self) -> ControlStatus {
         ControlStatus {
             name: self.config.name.clone(),
@@ -276,7 +276,7 @@
         self.raft.lease_until().is_some_and(|until| self.now < until)
     }
 
-    /// Puts a command into the log, if this replica leads.
+    /// Proposes a command. Returns its term and index, or `None` if this replica does not lead.
     pub(crate) fn propose(&mut self, command: &Command) -> Option<(u64, u64)> {
         let data = postcard::to_stdvec(command).expect("a command can be encoded");
         self.raft.propose(data).ok()
@@ -288,7 +288,7 @@
 
     fn on_tick(&mut self) -> Result<(), StoreError> {
         self.raft.tick(self.now);
-        self.renew_voter();
+        self.readmit_voter();
         self.drain_raft()?;
         self.tick_liveness();
         self.tick_pushes();
@@ -303,7 +303,9 @@
     fn on_message(&mut self, from: Peer, message: Message) -> Result<(), StoreError> {
         match (from, message) {
             (Peer::Control(_), Message::Raft(envelope)) => self.raft.step(self.now, envelope),
-            (Peer::Router(node), Message::Heartbeat(beat)) => self.on_heartbeat(node, beat),
+            (Peer::Router(node), Message::Heartbeat(heartbeat)) => {
+                self.on_heartbeat(node, heartbeat)
+            }
             (Peer::Router(_), Message::ChangeBackup { account, epoch, backup }) => {
                 self.on_change_backup(account, epoch, backup);
             }
@@ -311,7 +313,7 @@
                 self.on_return_rights(budget, account, total);
             }
             (Peer::Router(node), Message::Bills { account, archived, bills }) => {
-                self.liveness.expect_bill_confirmation(&account, node);
+                self.liveness.record_bill_sender(&account, node);
                 self.bills.add(&account, archived, &bills)?;
             }
             _ => {}
@@ -328,7 +330,7 @@
     fn on_edit(&mut self, token: EditToken, edit: Edit) {
         match self.propose(&Command::Edit(edit)) {
             Some((term, index)) => {
-                let pending = PendingEdit { term, token, asked_at: self.now };
+                let pending = PendingEdit { term, token, proposed_at: self.now };
                 self.pending_edits.insert(index, pending);
             }
             None => {
@@ -344,22 +346,22 @@
         let overdue: Vec<u64> = self
             .pending_edits
             .iter()
-            .filter(|(_, pending)| now.since(pending.asked_at) >= EDIT_TIMEOUT)
+            .filter(|(_, pending)| now.since(pending.proposed_at) >= EDIT_TIMEOUT)
             .map(|(index, _)| *index)
             .collect();
         for index in overdue {
-            self.answer_edit(index, EditReply::Unconfirmed);
+            self.reply_to_edit(index, EditReply::Unconfirmed);
         }
     }
 
-    fn answer_edit(&mut self, index: u64, reply: EditReply) {
+    fn reply_to_edit(&mut self, index: u64, reply: EditReply) {
         if let Some(pending) = self.pending_edits.remove(&index) {
             self.effects.push(ControlEffect::EditReply { token: pending.token, reply });
         }
     }
 
-    /// Does what Raft asks for, until it asks for nothing more. What a message promises is made
-    /// durable before the message goes out.
+    /// Processes Raft's pending output until there is none left. State that a message relies on
+    /// is made durable before the message is sent.
     fn drain_raft(&mut self) -> Result<(), StoreError> {
         loop {
             let ready = self.raft.ready();
@@ -388,8 +390,8 @@
     fn install(&mut self, snapshot: &stackpost_consensus::Snapshot) -> Result<(), StoreError> {
         self.state = StateMachine::from_snapshot(&snapshot.data)
             .map_err(|_| StoreError::Damaged { file: "snapshot".into(), position: 0 })?;
-        let following = self.raft.entries_after_snapshot();
-        self.store.install(snapshot, self.raft.hard_state(), &following)
+        let remaining_entries = self.raft.entries_after_snapshot();
+        self.store.install(snapshot, self.raft.hard_state(), &remaining_entries)
     }
 
     fn apply(&mut self, entry: Entry) -> Result<(), StoreError> {
@@ -401,47 +403,47 @@
             })?,
         };
         let outcome = self.state.apply(Version(index), &command);
-        self.answer_applied(index, term, outcome);
-        if index - self.raft.snapshot_index() >= SNAPSHOT_EVERY {
+        self.reply_to_applied_edit(index, term, outcome);
+        if index - self.raft.snapshot_index() >= SNAPSHOT_INTERVAL_ENTRIES {
             self.take_snapshot(index)?;
         }
         Ok(())
     }
 
-    fn answer_applied(&mut self, index: u64, term: u64, outcome: CommandOutcome) {
+    fn reply_to_applied_edit(&mut self, index: u64, term: u64, outcome: CommandOutcome) {
         let Some(pending) = self.pending_edits.get(&index) else {
             return;
         };
         let reply = match outcome {
             CommandOutcome::Edit(outcome) if pending.term == term => EditReply::Outcome(outcome),
-            // Another leader's entry took the place of the edit.
+            // An entry of another leader replaced the edit at this index.
             _ => EditReply::Unconfirmed,
         };
-        self.answer_edit(index, reply);
+        self.reply_to_edit(index, reply);
     }
 
     fn take_snapshot(&mut self, index: u64) -> Result<(), StoreError> {
         self.raft.compact(index, self.state.to_snapshot());
         let snapshot = self.raft.snapshot().clone();
-        let following = self.raft.entries_after_snapshot();
-        self.store.install(&snapshot, self.raft.hard_state(), &following)
+        let remaining_entries = self.raft.entries_after_snapshot();
+        self.store.install(&snapshot, self.raft.hard_state(), &remaining_entries)
     }
 
-    /// Lets a replica whose data folder was lost vote again, once it has caught up.
-    fn renew_voter(&mut self) {
+    /// Makes a replica whose data folder was lost a voter again once it has caught up.
+    fn readmit_voter(&mut self) {
         if self.raft.may_change_voters().is_err() {
             return;
         }
         let mut voters = self.raft.voters().clone();
-        let renewed = voters
+        let caught_up = voters
             .keys()
             .find_map(|machine| Some((machine.clone(), self.raft.caught_up_identity(machine)?)));
-        let Some((machine, identity)) = renewed else {
+        let Some((machine, identity)) = caught_up else {
             return;
         };
         voters.insert(machine, identity);
         if let Err(error) = self.raft.propose_voters(voters) {
-            log::warn!(step = "membership"; "the voters stay as they are: {error}");
+            log::warn!(step = "membership"; "cannot propose a change of voters: {error}");
         }
     }
 }
--- a/crates/control/src/api.rs
+++ b/crates/control/src/api.rs
@@ -1,4 +1,4 @@
-//! The operators' side of a control replica.
+//! HTTP API of a control replica for operators.
 
 use crate::replica_handle::{FileReplica, ReplicaHandle};
 use crate::views::*;
@@ -11,20 +11,20 @@
 use std::sync::Arc;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Largest edit, in bytes.
+/// Largest request body of an edit, in bytes.
 const MAX_EDIT_BYTES: usize = 1 << 20;
-/// Records listed when no number is given.
+/// Audit records returned when the request names no count.
 const DEFAULT_COUNT: usize = 50;
 
-/// What the handler needs.
+/// State of the request handler.
 pub struct Api {
-    /// The replica.
+    /// Handle of the replica's thread.
     pub replica_handle: ReplicaHandle,
-    /// Who may read and edit.
+    /// Operators who may read and edit, with the hashes of their keys.
     pub operators: OperatorsFile,
 }
 
-/// Answers one request.
+/// Handles one request.
 pub async fn handle(api: Arc<Api>, mut exchange: Exchange) -> Answer {
     match exchange.uri.path() {
         "/healthz" => return Answer::text(StatusCode::OK, "ok\n"),
@@ -52,8 +52,8 @@
 fn authenticate(operators: &OperatorsFile, exchange: &Exchange) -> Option<OperatorName> {
     let text = exchange.headers.get(header::AUTHORIZATION)?.to_str().ok()?;
     let hash = KeyHash::of(text.strip_prefix("Bearer ")?.trim());
-    let known = operators.0.iter().find(|(_, allowed)| **allowed == hash);
-    known.map(|(name, _)| name.clone())
+    let entry = operators.0.iter().find(|(_, allowed)| **allowed == hash);
+    entry.map(|(name, _)| name.clone())
 }
 
 async fn ready(replica_handle: &ReplicaHandle) -> Answer {
@@ -70,11 +70,11 @@
 ) -> Answer {
     match replica_handle.inspect(view).await {
         Some(view) => Answer::json(StatusCode::OK, &view),
-        None => stopped(),
+        None => replica_stopped(),
     }
 }
 
-fn stopped() -> Answer {
+fn replica_stopped() -> Answer {
     Answer::json(StatusCode::SERVICE_UNAVAILABLE, &json!({ "error": "the replica has stopped" }))
 }
 
@@ -116,18 +116,18 @@
     let read = replica_handle.inspect(|replica| replica.bills().read_all()).await;
     match read {
         Some(Ok(stored)) => {
-            let wanted: Vec<BillView> = stored
+            let matching: Vec<BillView> = stored
                 .into_iter()
                 .filter(|(_, bill)| tenant.as_ref().is_none_or(|name| bill.tenant.as_str() == name))
                 .filter(|(_, bill)| request.is_none_or(|id| bill.request == id))
                 .map(|(account, bill)| BillView { account: account.to_string(), bill })
                 .collect();
-            Answer::json(StatusCode::OK, &wanted)
+            Answer::json(StatusCode::OK, &matching)
         }
         Some(Err(error)) => {
             Answer::json(StatusCode::INTERNAL_SERVER_ERROR, &json!({ "error": error.to_string() }))
         }
-        None => stopped(),
+        None => replica_stopped(),
     }
 }
 
@@ -147,7 +147,7 @@
         .await;
     match records {
         Some(records) => Answer::json(StatusCode::OK, &records),
-        None => stopped(),
+        None => replica_stopped(),
     }
 }
 
@@ -191,7 +191,7 @@
             return Answer::json(StatusCode::BAD_REQUEST, &error);
         }
     };
-    let (key, row) = match read_edit(&request) {
+    let (key, row) = match parse_edit(&request) {
         Ok(read) => read,
         Err(error) => return Answer::json(StatusCode::UNPROCESSABLE_ENTITY, &invalid_edit(error)),
     };
@@ -212,7 +212,7 @@
     Answer::json(status_of(&view), &view)
 }
 
-fn read_edit(request: &EditRequest) -> Result<(RowKey, Option<Row>), FieldError> {
+fn parse_edit(request: &EditRequest) -> Result<(RowKey, Option<Row>), FieldError> {
     let key = parse_key(&request.table, &request.name)?;
     let row = match &request.row {
         Value::Null => None,
--- a/crates/control/src/app.rs
+++ b/crates/control/src/app.rs
@@ -1,4 +1,4 @@
-//! Start of the process.
+//! Command line, startup and shutdown of the process.
 
 use crate::api::{self, Api};
 use crate::replica_handle;
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Threads that serve messages and operators.
+/// Worker threads of the runtime, which handles messages and runs the API.
 const THREADS: usize = 2;
 
 fn command() -> Command {
@@ -50,8 +50,8 @@
         )
 }
 
-/// Runs the process; returns its exit code: 0 after a planned stop, 2 for wrong settings, 1 for
-/// anything else.
+/// Runs the process and returns its exit code: 0 after a planned stop, 2 for invalid settings, 1
+/// for any other error.
 pub fn run() -> ExitCode {
     let arguments = command().get_matches();
     let (settings, entry, control) = match read_settings(&arguments) {
@@ -84,7 +84,7 @@
     let file = arguments.get_one::<PathBuf>("settings").expect("required");
     let name = arguments.get_one::<String>("machine").expect("required");
     let mut settings: FleetSettings = load(file).map_err(|error| error.to_string())?;
-    settings.operators_file = beside(file, &settings.operators_file);
+    settings.operators_file = relative_to(file, &settings.operators_file);
     let entry = settings
         .machine(name)
         .map_err(|problem| format!("--machine: {}; allowed: {}", problem.found, problem.allowed))?;
@@ -96,8 +96,8 @@
     Ok((settings, entry, control))
 }
 
-/// A path in the settings is relative to the settings file.
-fn beside(file: &Path, path: &Path) -> PathBuf {
+/// Resolves a path from the settings, which is relative to the settings file.
+fn relative_to(file: &Path, path: &Path) -> PathBuf {
     file.parent().unwrap_or(Path::new(".")).join(path)
 }
 
@@ -124,15 +124,16 @@
         let options = ServerOptions { address: control.admin, threads: 1 };
         serve(options, move |exchange| api::handle(api.clone(), exchange))?;
         log::info!(zone = entry.zone.to_string(), address = control.admin.to_string(); "listening");
-        wait_for_stop().await
+        wait_for_stop_signal().await
     })
 }
 
-/// A replica needs no farewell: what it has promised is on its disk.
-async fn wait_for_stop() -> Result<(), PeerError> {
-    let failed = |error: std::io::Error| PeerError::new(Step::Listen, "signals", error);
-    let mut terminate = signal(SignalKind::terminate()).map_err(failed)?;
-    let mut interrupt = signal(SignalKind::interrupt()).map_err(failed)?;
+/// Waits for a signal to stop. A replica needs no shutdown protocol, since everything that it has
+/// acknowledged is on its disk.
+async fn wait_for_stop_signal() -> Result<(), PeerError> {
+    let signal_error = |error: std::io::Error| PeerError::new(Step::Listen, "signals", error);
+    let mut terminate = signal(SignalKind::terminate()).map_err(signal_error)?;
+    let mut interrupt = signal(SignalKind::interrupt()).map_err(signal_error)?;
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
--- a/crates/control/src/orders.rs
+++ b/crates/control/src/orders.rs
@@ -1,4 +1,4 @@
-//! Sending orders to engines.
+//! HTTP client that sends orders to engines.
 
 use crate::replica_handle::ReplicaHandle;
 use stackpost_control_core::{ControlEvent, EngineOrder};
@@ -7,21 +7,21 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Longest wait for an engine to reach the ordered state.
+/// Longest wait for an engine's response, which it sends once it is in the desired state.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(9);
 
-/// An order and the engine it is for.
+/// An order with the engine that receives it.
 pub struct AddressedOrder {
     /// The engine.
     pub back_end: BackEndName,
-    /// Where it is reached.
+    /// Address of the engine.
     pub address: SocketAddr,
     /// The order.
     pub order: EngineOrder,
 }
 
-/// Sends an order and reports the answer. `may_send` is asked just before the order leaves: the
-/// lease may have ended since the order was decided on.
+/// Sends an order and reports the result to the replica. `may_send` is called just before the
+/// order is sent, since the lease may have ended since the order was created.
 pub async fn send(
     client: Client,
     replica_handle: ReplicaHandle,
@@ -32,7 +32,7 @@
     let result = if may_send() {
         post(&client, address, &order).await
     } else {
-        Err("the lease ended before the order was sent".to_string())
+        Err("the lease expired before the order was sent".to_string())
     };
     log::info!(
         peer = back_end.to_string(), step = "order",
@@ -48,8 +48,8 @@
         .header("content-type", "application/json")
         .body(Bytes::from(body))
         .map_err(|error| error.to_string())?;
-    let answered = client.exchange(request, ORDER_TIMEOUT).await;
-    let (status, text) = answered.map_err(|error| error.reason)?;
+    let response = client.exchange(request, ORDER_TIMEOUT).await;
+    let (status, text) = response.map_err(|error| error.reason)?;
     if status == StatusCode::OK {
         return Ok(());
     }
--- a/crates/control/src/replica_handle.rs
+++ b/crates/control/src/replica_handle.rs
@@ -1,4 +1,4 @@
-//! Runs the state machine on a thread of its own and carries out its effects.
+//! Runs the state machine on its own thread and executes its effects.
 
 use crate::orders;
 use stackpost_control_core::{
@@ -20,30 +20,30 @@
 
 /// Time between two ticks of the state machine.
 const TICK: Duration = Duration::from_millis(20);
-/// Folder of the replicated log inside the data folder.
+/// Folder of the replicated log, inside the data folder.
 const LOG_FOLDER: &str = "log";
-/// Folder of the bills inside the data folder.
+/// Folder of the bills, inside the data folder.
 const BILL_FOLDER: &str = "bills";
 
-/// The replica as this process runs it.
+/// A replica that stores its state in files.
 pub type FileReplica = Replica<FileDisk>;
 
-type Look = Box<dyn FnOnce(&FileReplica) + Send>;
+type InspectFn = Box<dyn FnOnce(&FileReplica) + Send>;
 
 enum Task {
     Event(Box<ControlEvent>),
     Edit(Box<Edit>, oneshot::Sender<EditReply>),
-    Look(Look),
+    Inspect(InspectFn),
 }
 
-/// The way to the replica's thread.
+/// Handle that passes tasks to the replica's thread.
 #[derive(Clone)]
 pub struct ReplicaHandle {
     tasks: Sender<Task>,
 }
 
 impl ReplicaHandle {
-    /// Takes in a parcel from another process of the fleet.
+    /// Passes the messages of a received batch to the replica.
     pub fn receive(&self, batch: MessageBatch) {
         for message in batch.messages {
             let event = ControlEvent::Message { from: batch.from.clone(), message };
@@ -51,38 +51,39 @@
         }
     }
 
-    /// Reports an engine's answer.
+    /// Passes an event to the replica.
     pub fn event(&self, event: ControlEvent) {
-        self.put(Task::Event(Box::new(event)));
+        self.enqueue(Task::Event(Box::new(event)));
     }
 
-    /// Makes an edit; returns what the operator is to be told.
+    /// Submits an edit and returns the reply for the operator.
     pub async fn edit(&self, edit: Edit) -> EditReply {
-        let (sender, reply) = oneshot::channel();
-        self.put(Task::Edit(Box::new(edit), sender));
-        reply.await.unwrap_or(EditReply::Unconfirmed)
+        let (sender, receiver) = oneshot::channel();
+        self.enqueue(Task::Edit(Box::new(edit), sender));
+        receiver.await.unwrap_or(EditReply::Unconfirmed)
     }
 
-    /// Looks at the replica. `None` if its thread has ended.
+    /// Runs `inspect` on the replica's thread and returns its result, or `None` if the thread has
+    /// ended.
     pub async fn inspect<T: Send + 'static>(
         &self,
         inspect: impl FnOnce(&FileReplica) -> T + Send + 'static,
     ) -> Option<T> {
-        let (sender, answer) = oneshot::channel();
-        self.put(Task::Look(Box::new(move |replica| {
-            // The one who asked may have gone.
+        let (sender, receiver) = oneshot::channel();
+        self.enqueue(Task::Inspect(Box::new(move |replica| {
+            // Fails if the caller no longer waits for the result.
             let _ = sender.send(inspect(replica));
         })));
-        answer.await.ok()
+        receiver.await.ok()
     }
 
-    fn put(&self, task: Task) {
-        // The thread ends only together with the process.
+    fn enqueue(&self, task: Task) {
+        // Can't fail in practice: the thread ends only when the process exits.
         let _ = self.tasks.send(task);
     }
 }
 
-struct Loop {
+struct ReplicaThread {
     started: Instant,
     replica: FileReplica,
     outbox: Outbox,
@@ -94,7 +95,7 @@
     runtime: tokio::runtime::Handle,
 }
 
-/// Opens the data folder and starts the replica's thread. Must be called inside a Tokio runtime.
+/// Opens the data folder and starts the replica's thread. Must be called within a Tokio runtime.
 pub fn start(
     settings: &FleetSettings,
     entry: &MachineEntry,
@@ -119,7 +120,7 @@
         .replicas()
         .map(|(machine, control)| (machine.name.clone(), control.peer))
         .collect();
-    let state = Loop {
+    let replica_thread = ReplicaThread {
         started,
         replica,
         outbox: Outbox::new(Peer::Control(entry.name.clone())),
@@ -130,19 +131,20 @@
         replica_handle: replica_handle.clone(),
         runtime: tokio::runtime::Handle::current(),
     };
-    std::thread::Builder::new().name("replica".into()).spawn(move || state.run(&queue)).map_err(
-        |source| {
+    std::thread::Builder::new()
+        .name("replica".into())
+        .spawn(move || replica_thread.run(&queue))
+        .map_err(|source| {
             StoreError::Disk(stackpost_storage::DiskError {
                 operation: "start the thread for",
                 file: data_folder.display().to_string(),
                 source,
             })
-        },
-    )?;
+        })?;
     Ok(replica_handle)
 }
 
-/// Makes the data folder of a replica that takes part in a new fleet from the start.
+/// Initializes the data folder of a replica that is an initial voter of a new fleet.
 pub fn initialize(data_folder: &Path) -> Result<(), StoreError> {
     let (log_disk, _) = open_folders(data_folder)?;
     Replica::initialize(log_disk)
@@ -161,22 +163,22 @@
     Ok((open(LOG_FOLDER)?, open(BILL_FOLDER)?))
 }
 
-/// The replica's clock. Zero stands for "never" in timers, so it starts a little later.
+/// Time on the replica's clock. The clock starts at 1000 ms, since zero means "never" in timers.
 fn clock(started: Instant) -> Timestamp {
     Timestamp(started.elapsed().as_millis() as u64 + 1_000)
 }
 
-impl Loop {
+impl ReplicaThread {
     fn run(mut self, queue: &Receiver<Task>) {
         let runtime = self.runtime.clone();
-        let _inside = runtime.enter();
+        let _runtime_guard = runtime.enter();
         let mut tick_at = Instant::now();
         loop {
             let wait = tick_at.saturating_duration_since(Instant::now());
             match queue.recv_timeout(wait) {
                 Ok(Task::Event(event)) => self.handle(*event),
                 Ok(Task::Edit(edit, reply)) => self.edit(*edit, reply),
-                Ok(Task::Look(inspect)) => inspect(&self.replica),
+                Ok(Task::Inspect(inspect)) => inspect(&self.replica),
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
             }
@@ -198,18 +200,19 @@
         match self.replica.handle(clock(self.started), event) {
             Ok(effects) => {
                 for effect in effects {
-                    self.carry_out(effect);
+                    self.execute(effect);
                 }
             }
             Err(error) => {
-                // What is on the disk is not known any more, so nothing may be promised: stop.
-                log::error!(step = "storage"; "{error}: stops");
+                // The contents of the disk are uncertain, so the process must not acknowledge
+                // anything any more.
+                log::error!(step = "storage"; "stopping the process: {error}");
                 std::process::exit(1);
             }
         }
     }
 
-    fn carry_out(&mut self, effect: ControlEffect) {
+    fn execute(&mut self, effect: ControlEffect) {
         match effect {
             ControlEffect::Send { to, message } => self.send(to, message),
             ControlEffect::EditReply { token, reply } => {
--- a/crates/control/src/views.rs
+++ b/crates/control/src/views.rs
@@ -1,4 +1,4 @@
-//! What operators are shown, as JSON.
+//! JSON representations that the operators' API sends and receives.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -13,49 +13,49 @@
 pub struct RowView {
     /// The kind of row.
     pub table: String,
-    /// Its name.
+    /// The row's name.
     pub name: String,
-    /// The version that last wrote it.
+    /// The version that last wrote the row.
     pub version: Version,
-    /// Its content.
+    /// The row's content.
     pub row: Value,
 }
 
-/// An edit as operators send it.
+/// An edit that an operator requests.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EditRequest {
-    /// Names the edit; a resent one carries the same id.
+    /// Identifies the edit. A resent edit carries the same id.
     pub id: String,
     /// The kind of row.
     pub table: String,
-    /// Its name.
+    /// The row's name.
     pub name: String,
-    /// Version of the row that the operator saw; 0 if there was none.
+    /// Version of the row that the edit is based on; 0 if the row did not exist.
     pub based_on: Version,
     /// The new content; `null` deletes the row.
     pub row: Value,
 }
 
-/// What became of an edit.
+/// The outcome of an edit.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(tag = "outcome", rename_all = "snake_case")]
 pub enum EditView {
     /// The row was written.
     Accepted {
-        /// Its new version.
+        /// The row's new version.
         version: Version,
-        /// Set where a lowered limit takes effect only as far as rights come back.
+        /// Set if a lowered limit takes effect only as rights are returned.
         recall: Option<Recall>,
     },
-    /// Another edit came first.
+    /// The row has changed since the version that the edit is based on.
     Conflict {
-        /// The row as it is now; `None` if it does not exist.
+        /// The current row; `None` if it does not exist.
         current: Option<RowView>,
     },
     /// The new content is not allowed.
     Invalid {
-        /// The field.
+        /// The invalid field.
         field: String,
         /// What was found.
         found: String,
@@ -64,55 +64,55 @@
     },
     /// Another replica leads.
     NotLeader {
-        /// Its machine, if known.
+        /// The leader's machine, if known.
         leader: Option<MachineName>,
     },
-    /// The edit may yet be accepted; sending it again under the same id is safe.
+    /// The edit may still be accepted. Resending it under the same id is safe.
     Unconfirmed,
 }
 
-/// A budget and its shares.
+/// A budget and the rights issued for it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct BudgetView {
     /// The budget.
     pub budget: BudgetName,
     /// The limit in the table.
     pub limit: Tokens,
-    /// Rights issued to each zone, less those given back.
+    /// Rights issued to each zone, less those it has returned.
     pub by_zone: BTreeMap<ZoneName, Tokens>,
-    /// Rights not issued.
+    /// Rights that are not issued.
     pub pool: Tokens,
-    /// Rights that zones must give back.
+    /// Rights that zones must return.
     pub recall: Tokens,
-    /// What the bills stored on this replica add up to.
+    /// Sum of the bills stored on this replica.
     pub billed: Tokens,
 }
 
-/// A router as a replica hears it.
+/// An account.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct AccountView {
     /// The account.
     pub account: String,
-    /// Its zone.
+    /// The zone of the router that opened it.
     pub zone: ZoneName,
-    /// Its epoch.
+    /// The epoch, which grows by one at each change of the account's row.
     pub epoch: Epoch,
-    /// Who owns it.
+    /// The node that owns the account.
     pub owner: String,
-    /// Who backs it up.
+    /// The node that backs the account up.
     pub backup: Option<String>,
-    /// Where it stands in its life.
+    /// The account's state.
     pub state: AccountState,
 }
 
 /// A replica's view of the fleet.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct FleetView {
-    /// The replica itself.
+    /// Status of the replica that was asked.
     pub replica: ControlStatus,
-    /// Routers by zone, and how many have the newest configuration.
+    /// Live routers of each zone, and how many of them have the newest configuration in force.
     pub zones: Vec<ZoneProgress>,
-    /// Accounts that are not lost or emptied.
+    /// Accounts that are not lost.
     pub accounts: Vec<AccountView>,
 }
 
@@ -125,7 +125,8 @@
     pub bill: Bill,
 }
 
-/// Splits a key into the names operators use.
+/// Splits a key into the table and the name that operators use; `None` for rows of the control
+/// plane.
 pub fn table_and_name(key: &RowKey) -> Option<(String, String)> {
     let table = key.table()?;
     let text = key.to_string();
@@ -133,14 +134,14 @@
     Some((table.as_str().to_string(), name.to_string()))
 }
 
-/// A row as operators see it; `None` for rows of the control plane and deleted ones.
+/// Converts a row; `None` for deleted rows and rows of the control plane.
 pub fn row_view(key: &RowKey, versioned: &Versioned) -> Option<RowView> {
     let (table, name) = table_and_name(key)?;
     let row = row_to_json(versioned.row.as_ref()?);
     Some(RowView { table, name, version: versioned.version, row })
 }
 
-/// An edit's outcome as operators see it.
+/// Converts the outcome of an edit.
 pub fn edit_view(key: &RowKey, outcome: EditOutcome) -> EditView {
     match outcome {
         EditOutcome::Accepted { version, recall } => EditView::Accepted { version, recall },
@@ -152,13 +153,13 @@
     }
 }
 
-/// A field error as operators see it.
+/// Converts a field error to the outcome of an invalid edit.
 pub fn invalid_edit(error: FieldError) -> EditView {
     let FieldError { field, found, allowed, .. } = error;
     EditView::Invalid { field, found, allowed }
 }
 
-/// A budget as operators see it.
+/// Converts a budget and the rights issued for it.
 pub fn budget_view(
     table: &Table,
     name: &BudgetName,
@@ -179,7 +180,7 @@
     }
 }
 
-/// An account as operators see it.
+/// Converts an account.
 pub fn account_view(account: &AccountId, row: &AccountRow) -> AccountView {
     AccountView {
         account: account.to_string(),
--- a/crates/protocol/src/keys.rs
+++ b/crates/protocol/src/keys.rs
@@ -1,75 +1,75 @@
-//! Messages about idempotency keys.
+//! Messages that claim idempotency keys and fetch stored answers.
 
 use serde::{Deserialize, Serialize};
 use stackpost_ledger::{KeyClaim, KeyDigest, StoredAnswer};
 use stackpost_types::*;
 
-/// Asks the keeper of a key for the right to run a request under it.
+/// Claims an idempotency key for a request, at the account that keeps the key.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ClaimKey {
-    /// The zone that keeps the key.
+    /// The zone in which the key is kept.
     pub zone: ZoneName,
     /// The key.
     pub key: KeyDigest,
-    /// The request that wants to run, who would run it, and its content.
+    /// The request, the account that would run it, and the request's fingerprint.
     pub claim: KeyClaim,
-    /// A request that held the key and is known not to count any more.
+    /// The previous holder of the key, if its claim is known to be void.
     pub replaces: Option<RequestId>,
 }
 
-/// The keeper's answer.
+/// Reply to [`ClaimKey`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ClaimReply {
-    /// The request that asked.
+    /// The request that claims the key.
     pub request: RequestId,
-    /// The answer.
+    /// The result of the claim.
     pub result: ClaimResult,
 }
 
-/// What the keeper says of a key.
+/// The result of a claim.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ClaimResult {
     /// The request may run.
     Granted,
-    /// Another request has the key.
+    /// Another request holds the key.
     HeldBy(KeyClaim),
-    /// The key was used with other content.
+    /// The key was used for a request with another fingerprint.
     FingerprintMismatch,
-    /// The zone has lost its records: whether the key was used is not known.
+    /// The zone has lost its records, so it is unknown whether the key was used.
     Forgotten,
 }
 
-/// Asks the owner of `account` for the answer to `request`.
+/// Requests the stored answer to `request` from the owner of `account`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FetchAnswer {
-    /// The account that ran it.
+    /// The account that ran the request.
     pub account: AccountId,
-    /// The request that ran.
+    /// The request whose answer is fetched.
     pub request: RequestId,
-    /// The request that asks.
+    /// The request that fetches the answer.
     pub requester: RequestId,
 }
 
-/// The answer to [`FetchAnswer`].
+/// Reply to [`FetchAnswer`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FetchReply {
-    /// The request that asked.
+    /// The request that fetches the answer.
     pub requester: RequestId,
-    /// The request asked about.
+    /// The request whose answer is fetched.
     pub request: RequestId,
-    /// What is known.
+    /// What is known of that request.
     pub result: FetchResult,
 }
 
 /// What is known of a request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum FetchResult {
-    /// It is being worked on.
+    /// It is running.
     Running,
-    /// It ended, and this is its answer.
+    /// It has ended with this answer.
     Answer(StoredAnswer),
-    /// It did not run, or may run again and was not billed: the asker may take the key over.
+    /// It did not run, or it may be retried and was not billed. The requester may claim the key.
     Free,
-    /// It may have run; no answer is kept.
+    /// It may have run, but no answer is stored.
     Unknown,
 }
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,7 +1,8 @@
-//! Messages between the processes of the fleet.
+//! Messages that the processes of the fleet exchange.
 //!
-//! All are one-way: a sender repeats what it needs an answer to, and every receiver tolerates
-//! messages that are late, repeated, crossed or lost. Batches travel as one [`MessageBatch`].
+//! All messages are one-way. A sender resends a message until it has the reply that it needs, and
+//! every receiver tolerates messages that are delayed, duplicated, reordered or lost. Messages to
+//! the same receiver are sent together in a [`MessageBatch`].
 
 mod keys;
 mod rights;
@@ -18,14 +19,14 @@
 /// A process of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Peer {
-    /// One life of a router.
+    /// One incarnation of a router.
     Router(NodeId),
     /// A control replica.
     Control(MachineName),
 }
 
 impl Peer {
-    /// The machine it runs on.
+    /// The machine that the process runs on.
     pub fn machine(&self) -> &MachineName {
         match self {
             Self::Router(node) => &node.machine,
@@ -43,31 +44,31 @@
     }
 }
 
-/// Messages that travel together.
+/// Messages that are sent together.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MessageBatch {
     /// The sender.
     pub from: Peer,
-    /// The receiver; a router of another life drops the parcel.
+    /// The receiver. Another incarnation of the router drops the batch.
     pub to: Peer,
     /// The messages, in order.
     pub messages: Vec<Message>,
 }
 
-/// A router's sign of life to the control replicas.
+/// Heartbeat of a router to the control replicas.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The zone it stands in.
+    /// The router's zone.
     pub zone: ZoneName,
-    /// The configuration in force there; zero if it has none.
+    /// Version of the configuration in force at the router; zero if it has none.
     pub version: Version,
-    /// Mirrored accounts whose owner has been silent for too long.
+    /// Accounts that the router backs up and whose owner has been silent for too long.
     pub silent_owners: Vec<AccountId>,
-    /// It has finished its work and asks that its accounts be taken over.
+    /// Whether the router has finished its requests and asks that its accounts be taken over.
     pub leaving: bool,
 }
 
-/// One message.
+/// A message between two processes of the fleet.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[allow(missing_docs)]
 pub enum Message {
@@ -95,7 +96,7 @@
         account: AccountId,
         total: Tokens,
     },
-    /// `archived` is the last bill that the sender does not hold any more.
+    /// `archived` is the sequence number of the last bill that the sender no longer stores.
     Bills {
         account: AccountId,
         archived: u64,
--- a/crates/protocol/src/rights.rs
+++ b/crates/protocol/src/rights.rs
@@ -1,84 +1,85 @@
-//! Messages that move rights between accounts.
+//! Messages that transfer rights between accounts.
 
 use serde::{Deserialize, Serialize};
 use stackpost_types::*;
 
-/// Asks the owner of `from` for rights.
+/// Requests rights from the owner of the account `from`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Pull {
     /// The budget.
     pub budget: BudgetName,
-    /// The account asked.
+    /// The account that is asked for rights.
     pub from: AccountId,
-    /// The account that is to receive.
+    /// The account that is to receive the rights.
     pub to: AccountId,
-    /// Needed for requests that wait now.
+    /// Rights needed for requests that are waiting.
     pub need: Tokens,
-    /// Welcome beyond that.
+    /// Rights requested in total. Those beyond `need` are sent only as far as they can be spared.
     pub want: Tokens,
 }
 
-/// Answers a [`Pull`]; the rights themselves come as a [`Transfer`].
+/// Reply to [`Pull`]. The rights themselves are sent as a [`Transfer`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PullReply {
     /// The budget.
     pub budget: BudgetName,
-    /// The account asked.
+    /// The account that is asked for rights.
     pub from: AccountId,
-    /// The account that asked.
+    /// The account that requested the rights.
     pub to: AccountId,
-    /// What is being sent.
+    /// Rights that are being transferred.
     pub granted: Tokens,
-    /// What is reserved there and may yet come free.
+    /// Rights reserved at `from`, which may be released later.
     pub reserved: Tokens,
-    /// Other accounts believed to have rights available.
+    /// Other accounts that probably have rights available.
     pub others: Vec<AccountId>,
 }
 
-/// Rights moved from one account to another, as a total over all time.
+/// Rights transferred from one account to another, as a running total.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Transfer {
     /// The budget.
     pub budget: BudgetName,
-    /// The giver.
+    /// The account that sends the rights.
     pub from: AccountId,
-    /// The receiver.
+    /// The account that receives the rights.
     pub to: AccountId,
-    /// All that `from` has ever sent to `to`.
+    /// All rights that `from` has ever transferred to `to`.
     pub total: Tokens,
 }
 
-/// The receiver and its backup hold a transfer.
+/// Acknowledges a [`Transfer`] that the receiver and its backup have recorded.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TransferAck {
     /// The budget.
     pub budget: BudgetName,
-    /// The giver.
+    /// The account that sends the rights.
     pub from: AccountId,
-    /// The receiver.
+    /// The account that receives the rights.
     pub to: AccountId,
-    /// The total that is held.
+    /// The total that is recorded.
     pub total: Tokens,
 }
 
-/// What one account has of one budget.
+/// What one account holds of one budget.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HoldingRow {
     /// The budget.
     pub budget: BudgetName,
     /// Rights available.
     pub available: Tokens,
-    /// Tokens a second wanted there.
+    /// Demand at the account, in tokens per second.
     pub demand: Tokens,
 }
 
-/// A report of what an account has, for levelling and as a hint whom to ask.
+/// Report of the rights that an account holds, for rebalancing and for choosing whom to ask for
+/// rights.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Holdings {
     /// The account.
     pub account: AccountId,
     /// Its zone.
     pub zone: ZoneName,
-    /// What it has.
+    /// Its holdings, by budget.
     pub rows: Vec<HoldingRow>,
 }
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a settings file.
+//! Errors in settings files.
 
 use thiserror::Error;
 
@@ -20,10 +20,10 @@
         file: String,
         /// The line, from 1.
         line: usize,
-        /// What the parser says.
+        /// The parser's error.
         reason: String,
     },
-    /// A field is missing, unknown or not allowed to have its value.
+    /// A field is missing, unknown or has an invalid value.
     #[error("settings: {file}:{line}: field `{field}`: {found}; {allowed}")]
     Field {
         /// The file.
--- a/crates/settings/src/fleet.rs
+++ b/crates/settings/src/fleet.rs
@@ -7,13 +7,13 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// A whole fleet: every machine and the options that hold for all of them.
+/// Settings of a whole fleet: its machines and the options common to all of them.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetSettings {
     /// The machines that run processes of the fleet.
     pub machines: Vec<MachineEntry>,
-    /// Where the platform's machine list is read.
+    /// Address from which the platform's machine list is read.
     #[serde(default)]
     pub platform: Option<SocketAddr>,
     /// File with the operators' key hashes.
@@ -24,7 +24,7 @@
     /// Options of every control replica.
     #[serde(default)]
     pub control: ControlOptions,
-    /// How logs are written.
+    /// Options of the log.
     #[serde(default)]
     pub log: LogOptions,
 }
@@ -33,14 +33,14 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MachineEntry {
-    /// Its name; unique in the fleet.
+    /// The machine's name, unique in the fleet.
     pub name: MachineName,
-    /// The zone it stands in.
+    /// The machine's zone.
     pub zone: ZoneName,
-    /// The router it runs, if any.
+    /// The router on this machine, if any.
     #[serde(default)]
     pub router: Option<RouterEntry>,
-    /// The control replica it runs, if any. Needs a disk.
+    /// The control replica on this machine, if any. Requires a disk.
     #[serde(default)]
     pub control: Option<ControlEntry>,
 }
@@ -49,11 +49,11 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RouterEntry {
-    /// Where callers reach it.
+    /// Address for callers.
     pub api: SocketAddr,
-    /// Where other processes of the fleet reach it.
+    /// Address for other processes of the fleet.
     pub peer: SocketAddr,
-    /// Where operators and probes reach it.
+    /// Address for operators and probes.
     pub admin: SocketAddr,
 }
 
@@ -61,11 +61,11 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ControlEntry {
-    /// Where other processes of the fleet reach it.
+    /// Address for other processes of the fleet.
     pub peer: SocketAddr,
-    /// Where operators reach it.
+    /// Address for operators.
     pub admin: SocketAddr,
-    /// The folder it keeps its state in.
+    /// Folder in which the replica stores its state.
     pub data_folder: PathBuf,
 }
 
@@ -73,17 +73,17 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RouterOptions {
-    /// Threads that serve callers.
+    /// Threads that handle callers' requests.
     pub threads: usize,
     /// Largest request body, in bytes.
     pub max_body_bytes: usize,
-    /// Longest silence in the middle of a request body, in milliseconds.
+    /// Longest wait for more data within a request body, in milliseconds.
     pub body_timeout_ms: u64,
-    /// Time between two looks at a back end's load and cache, in milliseconds.
+    /// Time between two polls of a back end's load and cache, in milliseconds.
     pub poll_interval_ms: u64,
-    /// Longest silence of a back end before its answer begins, in milliseconds.
+    /// Longest wait for the first byte of a back end's response, in milliseconds.
     pub first_byte_timeout_ms: u64,
-    /// Longest silence of a back end in the middle of its answer, in milliseconds.
+    /// Longest wait for more data within a back end's response, in milliseconds.
     pub chunk_timeout_ms: u64,
 }
 
@@ -104,11 +104,13 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ControlOptions {
-    /// Shortest silence of the leader before another replica campaigns, in milliseconds.
+    /// Shortest time without a message from the leader before another replica starts an election,
+    /// in milliseconds.
     pub election_timeout_ms: u64,
     /// Time between two heartbeats of the leader, in milliseconds.
     pub heartbeat_interval_ms: u64,
-    /// Taken off the leader's lease for clocks that run at different speeds, in milliseconds.
+    /// Subtracted from the leader's lease, to allow for clocks that run at different speeds, in
+    /// milliseconds.
     pub lease_margin_ms: u64,
 }
 
@@ -118,7 +120,7 @@
     }
 }
 
-/// How much is logged.
+/// Severity of a log record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 #[allow(missing_docs)]
@@ -129,23 +131,23 @@
     Debug,
 }
 
-/// The form of a log line.
+/// Format of a log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogFormat {
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
-    /// For reading.
+    /// Plain text for human readers.
     Text,
 }
 
-/// How logs are written. They go to the standard error stream.
+/// Options of the log, which is written to the standard error stream.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LogOptions {
-    /// The least grave records that are written.
+    /// The lowest severity that is logged.
     pub level: LogLevel,
-    /// The form of a line.
+    /// Format of a line.
     pub format: LogFormat,
 }
 
@@ -155,7 +157,7 @@
     }
 }
 
-/// The operators and the hashes of their keys.
+/// The operators with the hashes of their keys.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct OperatorsFile(pub BTreeMap<OperatorName, KeyHash>);
@@ -220,17 +222,17 @@
 }
 
 fn addresses_of(entry: &MachineEntry) -> Vec<(&'static str, SocketAddr)> {
-    let mut found = Vec::new();
+    let mut addresses = Vec::new();
     if let Some(router) = &entry.router {
-        found.push(("router.api", router.api));
-        found.push(("router.peer", router.peer));
-        found.push(("router.admin", router.admin));
+        addresses.push(("router.api", router.api));
+        addresses.push(("router.peer", router.peer));
+        addresses.push(("router.admin", router.admin));
     }
     if let Some(control) = &entry.control {
-        found.push(("control.peer", control.peer));
-        found.push(("control.admin", control.admin));
+        addresses.push(("control.peer", control.peer));
+        addresses.push(("control.admin", control.admin));
     }
-    found
+    addresses
 }
 
 fn in_range(field: &str, value: u64, low: u64, high: u64) -> Result<(), Problem> {
@@ -251,10 +253,10 @@
 
 fn check_control(options: &ControlOptions) -> Result<(), Problem> {
     in_range("control.election_timeout_ms", options.election_timeout_ms, 100, 60_000)?;
-    let most = options.election_timeout_ms / 3;
-    in_range("control.heartbeat_interval_ms", options.heartbeat_interval_ms, 10, most)?;
-    let most = options.election_timeout_ms / 2;
-    in_range("control.lease_margin_ms", options.lease_margin_ms, 1, most)
+    let max = options.election_timeout_ms / 3;
+    in_range("control.heartbeat_interval_ms", options.heartbeat_interval_ms, 10, max)?;
+    let max = options.election_timeout_ms / 2;
+    in_range("control.lease_margin_ms", options.lease_margin_ms, 1, max)
 }
 
 impl Checked for OperatorsFile {
@@ -262,7 +264,7 @@
         for (name, hash) in &self.0 {
             let well_formed = hash.0.len() == 64 && hash.0.bytes().all(|b| b.is_ascii_hexdigit());
             if !well_formed {
-                // What was found may be the key itself, so it is not repeated here.
+                // The invalid value may be the key itself, so the error does not contain it.
                 let found = format!("{} characters", hash.0.len());
                 let allowed = "allowed: the SHA-256 of the key, 64 hexadecimal digits";
                 return Err(Problem::new(name.as_str(), found, allowed));
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,7 +1,7 @@
-//! Settings files: JSON with comments, fully checked.
+//! Settings files: JSON with comments, parsed and validated.
 //!
-//! One file describes a whole fleet; each process reads it and takes the entry of its own
-//! machine. [`load`] reads any such file and reports the first problem with file, line, field,
+//! One file describes a whole fleet. Each process reads it and uses the entry of its own machine.
+//! [`load`] reads a settings file and reports the first problem with the file, the line, the field,
 //! what was found and what is allowed.
 
 mod error;
--- a/crates/settings/src/load.rs
+++ b/crates/settings/src/load.rs
@@ -1,4 +1,4 @@
-//! Reading a settings file and finding the line of a problem.
+//! Parsing and validation of settings files, with the line of a problem.
 
 use crate::error::SettingsError;
 use jsonc_parser::ast::Value as Node;
@@ -7,10 +7,10 @@
 use serde::de::DeserializeOwned;
 use std::path::Path;
 
-/// Greatest edit distance at which a known field is offered for an unknown one.
-const MAX_DISTANCE: usize = 4;
+/// Largest edit distance at which a known field is suggested for an unknown one.
+const MAX_SUGGESTION_DISTANCE: usize = 4;
 
-/// A rule that a value breaks.
+/// A field whose value violates a rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
     /// Path of the field, such as `machines[2].router.api`.
@@ -22,7 +22,7 @@
 }
 
 impl Problem {
-    /// Describes a broken rule.
+    /// Creates a problem from its parts.
     pub fn new(
         field: impl Into<String>,
         found: impl Into<String>,
@@ -32,9 +32,9 @@
     }
 }
 
-/// Settings with rules beyond the types of their fields.
+/// Settings with rules beyond those that the types of their fields express.
 pub trait Checked {
-    /// The first rule that is broken.
+    /// Checks the rules and returns the first problem.
     fn check(&self) -> Result<(), Problem>;
 }
 
@@ -46,7 +46,7 @@
     parse(&file, &text)
 }
 
-/// Reads and checks settings from `text`; `file` is named in errors.
+/// Parses and checks settings from `text`. Errors name `file` as their source.
 pub fn parse<T: DeserializeOwned + Checked>(file: &str, text: &str) -> Result<T, SettingsError> {
     let value = parse_to_serde_value(text, &ParseOptions::default())
         .map_err(|error| SettingsError::Syntax {
@@ -60,29 +60,30 @@
             Ok(()) => return Ok(settings),
             Err(problem) => problem,
         },
-        Err(error) => describe(&error),
+        Err(error) => problem_from_serde(&error),
     };
     Err(SettingsError::Field {
         file: file.to_string(),
-        line: locate(text, &problem.field),
+        line: line_of_field(text, &problem.field),
         field: problem.field,
         found: problem.found,
         allowed: problem.allowed,
     })
 }
 
-/// Turns serde's message into a problem, with the nearest name for an unknown field.
-fn describe(error: &serde_path_to_error::Error<serde_json::Error>) -> Problem {
+/// Converts an error of serde to a problem. For an unknown field, the nearest known one is
+/// suggested.
+fn problem_from_serde(error: &serde_path_to_error::Error<serde_json::Error>) -> Problem {
     let field = error.path().to_string();
     let message = error.inner().to_string();
-    let names = quoted(&message);
+    let names = backquoted_texts(&message);
     if message.starts_with("unknown field") || message.starts_with("unknown variant") {
         let unknown = names.first().cloned().unwrap_or_default();
         let nearest = names[1..]
             .iter()
             .map(|name| (strsim::levenshtein(&unknown, name), name))
             .min()
-            .filter(|(distance, _)| *distance <= MAX_DISTANCE);
+            .filter(|(distance, _)| *distance <= MAX_SUGGESTION_DISTANCE);
         let hint = nearest.map(|(_, name)| format!("did you mean `{name}`? ")).unwrap_or_default();
         let allowed = format!("{hint}allowed: {}", names[1..].join(", "));
         return Problem::new(field, format!("found `{unknown}`"), allowed);
@@ -95,8 +96,8 @@
     Problem::new(field, message, "see docs/SETTINGS.md for what is allowed")
 }
 
-/// The texts between backquotes.
-fn quoted(message: &str) -> Vec<String> {
+/// The texts between pairs of backquotes.
+fn backquoted_texts(message: &str) -> Vec<String> {
     message.split('`').skip(1).step_by(2).map(str::to_string).collect()
 }
 
@@ -104,22 +105,22 @@
     text.bytes().take(position).filter(|byte| *byte == b'\n').count() + 1
 }
 
-/// The line at which the value of `field` begins, or that of its nearest ancestor.
-fn locate(text: &str, field: &str) -> usize {
+/// The line at which `field` begins, or its nearest ancestor that exists.
+fn line_of_field(text: &str, field: &str) -> usize {
     let parsed = parse_to_ast(text, &CollectOptions::default(), &ParseOptions::default());
     let Some(root) = parsed.ok().and_then(|result| result.value) else {
         return 1;
     };
     let mut node = root;
     let mut start = node.range().start;
-    for step in steps(field) {
-        let child = match (node, step) {
-            (Node::Object(object), Step::Name(name)) => object
+    for segment in path_segments(field) {
+        let child = match (node, segment) {
+            (Node::Object(object), PathSegment::Name(name)) => object
                 .properties
                 .into_iter()
                 .find(|property| property.name.as_str() == name)
                 .map(|property| (property.range.start, property.value)),
-            (Node::Array(array), Step::Index(index)) => array
+            (Node::Array(array), PathSegment::Index(index)) => array
                 .elements
                 .into_iter()
                 .nth(index)
@@ -133,24 +134,24 @@
     line_of(text, start)
 }
 
-enum Step {
+enum PathSegment {
     Name(String),
     Index(usize),
 }
 
-/// Splits `a[1].b` into its steps.
-fn steps(field: &str) -> Vec<Step> {
-    let mut found = Vec::new();
+/// Splits a path such as `a[1].b` into its segments.
+fn path_segments(field: &str) -> Vec<PathSegment> {
+    let mut segments = Vec::new();
     for part in field.split('.') {
         let mut pieces = part.split('[');
         if let Some(name) = pieces.next().filter(|name| !name.is_empty()) {
-            found.push(Step::Name(name.to_string()));
+            segments.push(PathSegment::Name(name.to_string()));
         }
         for index in pieces {
             if let Ok(index) = index.trim_end_matches(']').parse() {
-                found.push(Step::Index(index));
+                segments.push(PathSegment::Index(index));
             }
         }
     }
-    found
+    segments
 }
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,11 +1,12 @@
-//! Settings are checked whole: errors name file, line, field, what was found, what is allowed.
+//! Validation of settings files: errors name the file, the line, the field, what was found and what
+//! is allowed.
 
 use stackpost_settings::{FleetSettings, OperatorsFile, load, parse};
 use std::path::Path;
 
 fn error_of(text: &str) -> String {
     match parse::<FleetSettings>("fleet.jsonc", text) {
-        Ok(_) => panic!("accepted"),
+        Ok(_) => panic!("invalid settings were accepted"),
         Err(error) => error.to_string(),
     }
 }
@@ -19,7 +20,7 @@
 const MACHINE: &str = r#"{ "name": "m", "zone": "z", "control": { "peer": "127.0.0.1:1", "admin": "127.0.0.1:2", "data_folder": "d" } }"#;
 
 #[test]
-fn wrong_settings_are_named_by_line_and_field() {
+fn errors_name_the_line_and_the_field() {
     let cases = [
         ("{ \"machines\": [", "fleet.jsonc:1: not JSON"),
         (&fleet(MACHINE, ", \"routr\": {}"), "did you mean `router`?"),
@@ -49,17 +50,18 @@
 }
 
 #[test]
-fn a_key_in_place_of_its_hash_is_not_repeated_in_the_error() {
+fn errors_do_not_contain_a_key_given_instead_of_its_hash() {
     let error = parse::<OperatorsFile>("operators.jsonc", r#"{ "ada": "secret-key" }"#);
     let text = error.expect_err("refused").to_string();
     assert!(text.contains("64 hexadecimal digits") && !text.contains("secret-key"), "{text}");
 }
 
 #[test]
-fn the_examples_are_in_order() {
+fn the_example_settings_are_valid() {
     for name in ["lagos", "bogota"] {
         let path = format!("{}/../../examples/{name}/fleet.jsonc", env!("CARGO_MANIFEST_DIR"));
-        let settings: FleetSettings = load(Path::new(&path)).expect("in order");
+        let settings: FleetSettings =
+            load(Path::new(&path)).expect("the example settings are valid");
         assert_eq!(settings.replicas().count(), 3);
         assert!(settings.routers().count() >= 6);
     }
--- a/crates/table/src/audit.rs
+++ b/crates/table/src/audit.rs
@@ -1,26 +1,26 @@
-//! The audit trail of changes.
+//! Audit trail of edits.
 
 use crate::{EditOutcome, Row, RowKey};
 use serde::{Deserialize, Serialize};
 use stackpost_types::{OperatorName, Version, WallTime};
 
-/// One attempted change: who, when, which row, from what to what, from where, with what outcome.
+/// Record of one edit, accepted or not.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AuditRecord {
     /// Log index at which the edit was applied.
     pub version: Version,
-    /// When the edit was received.
+    /// Wall-clock time at which the edit was received.
     pub at: WallTime,
-    /// Who asked.
+    /// The operator who requested the edit.
     pub operator: OperatorName,
-    /// The network address it came from.
+    /// Network address that the edit was sent from.
     pub origin: String,
-    /// The row.
+    /// Key of the row.
     pub key: RowKey,
     /// The row before the edit.
     pub old: Option<Row>,
-    /// The content asked for.
+    /// The requested content; `None` for a deletion.
     pub new: Option<Row>,
-    /// What became of it.
+    /// Outcome of the edit.
     pub outcome: EditOutcome,
 }
--- a/crates/table/src/command.rs
+++ b/crates/table/src/command.rs
@@ -1,76 +1,77 @@
-//! Entries of the replicated log.
+//! Commands of the replicated log and their outcomes.
 
 use crate::{Edit, EditOutcome, IssueRow};
 use serde::{Deserialize, Serialize};
 use stackpost_types::*;
 
-/// One entry of the replicated log.
+/// The command in one entry of the replicated log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// Written by a new leader to commit what its predecessors left.
+    /// Changes nothing. Stands for entries without a command, such as the one that a new leader
+    /// writes to commit the entries of earlier terms.
     Noop,
-    /// An operator's change.
+    /// An operator's edit.
     Edit(Edit),
-    /// A router life opens its account.
+    /// Opens the account of a router incarnation.
     OpenAccount {
         /// The account.
         account: AccountId,
-        /// The zone it stands in.
+        /// The router's zone.
         zone: ZoneName,
     },
-    /// The owner has copied the account to `backup` and asks that it counts from now on.
+    /// Replaces the account's backup. The owner asks for it after copying the account to `backup`.
     ChangeBackup {
         /// The account.
         account: AccountId,
-        /// The epoch the owner knows.
+        /// The epoch that the owner expects.
         expected: Epoch,
-        /// The new backup, which holds a whole copy.
+        /// The new backup, which holds a complete copy.
         backup: NodeId,
     },
-    /// The owner is gone: its backup becomes the owner.
+    /// Makes the backup the account's owner, after the previous owner has ended.
     Seal {
         /// The account.
         account: AccountId,
-        /// The epoch the leader knows.
+        /// The epoch that the leader expects.
         expected: Epoch,
     },
-    /// Owner and backup are both gone.
+    /// Marks the account as lost, after its owner and its backup have both ended.
     MarkLost {
         /// The account.
         account: AccountId,
-        /// The epoch the leader knows.
+        /// The epoch that the leader expects.
         expected: Epoch,
     },
-    /// An account has given back rights that were recalled.
+    /// Records rights that an account has returned after a recall.
     CommitReturn {
         /// The budget.
         budget: BudgetName,
-        /// Who gave back.
+        /// The account that returned the rights.
         account: AccountId,
-        /// All that it has ever given back.
+        /// All rights of the budget that the account has ever returned.
         total: Tokens,
     },
 }
 
-/// Why a change of an account was not made.
+/// Why a change of an account was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AccountRefusal {
-    /// The account's epoch is no longer the one named.
+    /// The account's epoch is not the expected one.
     StaleEpoch,
-    /// There is no such account.
+    /// The account does not exist.
     Unknown,
-    /// A sealed or lost account, or one without a backup, can't be changed so.
+    /// The account's state, owner or backup does not allow the change.
     WrongState,
 }
 
-/// What applying a command did.
+/// The outcome of applying a command.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum CommandOutcome {
     /// Nothing to report.
     Done,
-    /// What became of an edit.
+    /// The outcome of an edit.
     Edit(EditOutcome),
-    /// What became of a change of an account.
+    /// The account's epoch after the change, or the reason for the refusal.
     Account(Result<Epoch, AccountRefusal>),
     /// The budget's rights after a return.
     Issue(IssueRow),
--- a/crates/table/src/edit.rs
+++ b/crates/table/src/edit.rs
@@ -4,52 +4,52 @@
 use serde::{Deserialize, Serialize};
 use stackpost_types::{OperatorName, Tokens, Version, WallTime};
 
-/// Names one edit; a resent edit carries the same one.
+/// Identifies an edit. A resent edit carries the same id.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct EditId(pub String);
 
-/// A change of one row, as an operator asked for it.
+/// A change of one row that an operator requested.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Edit {
-    /// Names the edit, so that resending it does no harm.
+    /// Identifies the edit, so that resending it is idempotent.
     pub id: EditId,
-    /// Who asked.
+    /// The operator who requested the edit.
     pub operator: OperatorName,
-    /// The network address the request came from.
+    /// Network address that the request was sent from.
     pub origin: String,
-    /// When it was received, by the receiving replica's wall clock.
+    /// Time at which the request was received, by the receiving replica's wall clock.
     pub received_at: WallTime,
-    /// The row.
+    /// Key of the row.
     pub key: RowKey,
-    /// Version of the row that the operator saw; zero if there was none.
+    /// Version of the row that the edit is based on; zero if the row did not exist.
     pub based_on: Version,
     /// The new content; `None` deletes the row.
     pub row: Option<Row>,
 }
 
-/// Rights that must come back before a lowered limit is reached.
+/// A lowered limit that is reached only after rights have been returned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Recall {
-    /// The limit asked for.
+    /// The requested limit.
     pub limit: Tokens,
-    /// What zones still hold or have spent.
+    /// Rights that zones hold or have spent.
     pub held: Tokens,
 }
 
-/// What became of an edit.
+/// The outcome of an edit.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum EditOutcome {
     /// The row was written.
     Accepted {
         /// The row's new version.
         version: Version,
-        /// Set where a lowered limit takes effect only as far as rights come back.
+        /// Set if a lowered limit takes effect only as rights are returned.
         recall: Option<Recall>,
     },
-    /// Another edit came first.
+    /// The row has changed since the version that the edit is based on.
     Conflict {
-        /// The row as it is now; `None` if it does not exist.
+        /// The current row; `None` if it does not exist.
         current: Option<Versioned>,
     },
     /// The new content is not allowed.
--- a/crates/table/src/issue.rs
+++ b/crates/table/src/issue.rs
@@ -1,10 +1,10 @@
-//! How a budget's rights are issued to the zones and called back.
+//! Issue of a budget's rights to the zones, and their recall.
 
 use crate::{IssueRow, Row, RowKey, Table};
 use stackpost_types::*;
 
-/// Brings the issue of `budget` in line with `limit`: what is not yet issued goes to zones that
-/// have an open account, each up to its share by weight; what zones hold above the limit is
+/// Adjusts the issue of `budget` to `limit`. Rights that are not issued yet go to zones with an
+/// active account, each up to its share by weight; rights that zones hold above the limit are
 /// recalled. `pool + held` never exceeds the larger of the limit and what was held before.
 pub fn issue_to_zones(table: &Table, budget: &BudgetName, limit: Tokens) -> IssueRow {
     let mut issue = match table.get(&RowKey::Issue(budget.clone())) {
@@ -18,8 +18,8 @@
     let total_weight: u64 = weights.iter().map(|(_, weight)| weight).sum();
     for (zone, weight) in &weights {
         let share = limit.scaled(*weight, total_weight);
-        let given = issue.by_zone.get(zone).copied().unwrap_or_default();
-        let amount = (share - given).min(issue.pool);
+        let already_issued = issue.by_zone.get(zone).copied().unwrap_or_default();
+        let amount = (share - already_issued).min(issue.pool);
         if amount.is_zero() {
             continue;
         }
@@ -33,15 +33,16 @@
     issue
 }
 
-/// Rounding leaves a few tokens in the pool; once every zone has its share they go to the first.
+/// Issues the few tokens that rounding leaves in the pool to the first zone, once every zone has
+/// its share.
 fn issue_remainder(
     table: &Table,
     budget: &BudgetName,
     issue: &mut IssueRow,
     weights: &[(ZoneName, u64)],
 ) {
-    let rounding = Tokens(weights.len() as u64);
-    if issue.pool.is_zero() || issue.pool > rounding {
+    let max_rounding = Tokens(weights.len() as u64);
+    if issue.pool.is_zero() || issue.pool > max_rounding {
         return;
     }
     let Some((zone, _)) = weights.first() else {
@@ -62,19 +63,19 @@
     table.rows().filter_map(weight_of).collect()
 }
 
-/// The open account of `zone` that ranks highest for `budget`.
+/// The active account of `zone` that ranks highest for `budget`.
 fn receiving_account(table: &Table, zone: &ZoneName, budget: &BudgetName) -> Option<AccountId> {
     let rank = |account: &AccountId| rendezvous_rank(budget.as_str(), &account.to_string());
-    open_accounts(table, zone).max_by_key(rank)
+    active_accounts(table, zone).max_by_key(rank)
 }
 
 /// The active accounts of a zone.
-pub(crate) fn open_accounts<'a>(
+pub(crate) fn active_accounts<'a>(
     table: &'a Table,
     zone: &'a ZoneName,
 ) -> impl Iterator<Item = AccountId> + 'a {
     table
         .accounts()
-        .filter(move |(_, view)| view.zone == *zone && view.state == crate::AccountState::Active)
+        .filter(move |(_, row)| row.zone == *zone && row.state == crate::AccountState::Active)
         .map(|(account, _)| account.clone())
 }
--- a/crates/table/src/key.rs
+++ b/crates/table/src/key.rs
@@ -1,10 +1,10 @@
-//! Names of rows.
+//! Keys of rows.
 
 use serde::{Deserialize, Serialize};
 use stackpost_types::*;
 use std::fmt;
 
-/// Names one row. The last four variants are written by the control plane alone.
+/// Identifies a row. The last three variants are written by the control plane alone.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum RowKey {
     /// A zone.
@@ -15,19 +15,19 @@
     Service(ServiceName),
     /// A back end.
     BackEnd(BackEndName),
-    /// A path rule.
+    /// A routing rule for a path.
     Route(RouteName),
     /// A prepaid budget.
     Budget(BudgetName),
     /// A tenant.
     Tenant(TenantName),
-    /// The knobs of the whole fleet.
+    /// The options of the whole fleet.
     Policy,
-    /// Who owns and who backs up an account.
+    /// The owner, backup and state of an account.
     Account(AccountId),
     /// Rights issued for a budget.
     Issue(BudgetName),
-    /// Which accounts keep the idempotency keys of a zone.
+    /// The accounts that keep the idempotency keys of a zone.
     KeySlots(ZoneName),
 }
 
@@ -46,7 +46,7 @@
 }
 
 impl TableName {
-    /// Every editable kind, in the order in which rows depend on one another.
+    /// Every editable kind. Rows refer only to kinds that come before their own.
     pub const ALL: [Self; 8] = [
         Self::Policy,
         Self::Zone,
@@ -58,7 +58,7 @@
         Self::Tenant,
     ];
 
-    /// The name as operators write it.
+    /// The kind's name as operators write it.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Zone => "zone",
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Reads what [`Self::as_str`] writes.
+    /// Parses a name that [`Self::as_str`] returns.
     pub fn parse(text: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|table| table.as_str() == text)
     }
@@ -93,7 +93,7 @@
 }
 
 impl RowKey {
-    /// The kind of row, if operators may edit it.
+    /// The kind of the row; `None` if operators can't edit it.
     pub fn table(&self) -> Option<TableName> {
         match self {
             Self::Zone(_) => Some(TableName::Zone),
--- a/crates/table/src/lib.rs
+++ b/crates/table/src/lib.rs
@@ -1,10 +1,10 @@
-//! The operators' table.
+//! The replicated configuration table.
 //!
-//! Rows are typed ([`Row`]), named by a [`RowKey`] and stored with the version that last wrote
-//! them ([`Table`]). Operators change rows through an [`Edit`], which names the version it was
-//! based on. [`StateMachine`] applies committed [`Command`]s in log order on every control replica
-//! and keeps what must survive a restart beside the rows: edit outcomes and the audit trail.
-//! Routers hold a [`Table`] of their own and follow it by [`Delta`]s.
+//! Rows are typed ([`Row`]), identified by a [`RowKey`] and stored with the version that last wrote
+//! them ([`Table`]). Operators change rows through an [`Edit`], which carries the version that it
+//! is based on. [`StateMachine`] applies committed [`Command`]s in log order on every control
+//! replica. Beside the rows it keeps edit outcomes and the audit trail, which must survive a
+//! restart too. Routers hold a copy of the [`Table`] and update it by [`Delta`]s.
 
 mod audit;
 mod check;
--- a/crates/table/src/row.rs
+++ b/crates/table/src/row.rs
@@ -1,4 +1,4 @@
-//! The typed rows.
+//! Types of the rows.
 
 use serde::{Deserialize, Serialize};
 use stackpost_types::*;
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ZoneRow {
-    /// Share of every budget that the zone is given at first, relative to the other zones.
+    /// Share of every budget that is first issued to the zone, relative to the other zones.
     pub weight: u32,
 }
 
@@ -34,21 +34,21 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MachineRow {
-    /// The zone it stands in.
+    /// Its zone.
     pub zone: ZoneName,
-    /// Where other processes of the fleet reach its router.
+    /// Address of its router for other processes of the fleet.
     pub peer_address: SocketAddr,
-    /// Where callers reach its router.
+    /// Address of its router for callers.
     pub api_address: SocketAddr,
 }
 
-/// What a service runs.
+/// The kind of a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ServiceKind {
-    /// Language engines, reached by model name.
+    /// Language model engines, selected by model name.
     Model,
-    /// Plain servers, reached by route.
+    /// Plain HTTP servers, selected by route.
     Plain,
 }
 
@@ -56,39 +56,39 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceRow {
-    /// What the back ends are.
+    /// Kind of the back ends.
     pub kind: ServiceKind,
     /// Models served; empty for a plain service.
     pub models: Vec<ModelName>,
-    /// Requests that may wait in one router for a free back end.
+    /// Requests that may wait in one router for an available back end.
     pub queue_limit: u32,
-    /// Requests one router sends to one back end at once.
+    /// Concurrent requests from one router to one back end.
     pub back_end_concurrency: u32,
     /// Longest wait in the queue, in milliseconds.
     pub queue_wait_ms: u64,
-    /// Largest `max_tokens` that a caller may ask for.
+    /// Largest `max_tokens` that a caller may request.
     pub max_tokens_limit: u64,
 }
 
-/// Whether a back end takes new work.
+/// Whether a back end receives new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum BackEndState {
-    /// Takes work.
+    /// Receives new requests.
     Active,
-    /// Finishes what it has and takes nothing new.
+    /// Finishes its current requests and receives no new ones.
     Leaving,
 }
 
-/// What an engine does for its service.
+/// The phases of a request that an engine runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EngineRole {
-    /// Prompt processing and generation.
+    /// Prefill and decode.
     Both,
-    /// Prompt processing only.
+    /// Prefill only.
     Prefill,
-    /// Generation only.
+    /// Decode only.
     Decode,
 }
 
@@ -98,33 +98,33 @@
 pub struct BackEndRow {
     /// The service it belongs to.
     pub service: ServiceName,
-    /// The zone it stands in.
+    /// Its zone.
     pub zone: ZoneName,
-    /// Where routers reach it.
+    /// Address of the back end.
     pub address: SocketAddr,
-    /// Share of the work, relative to the others.
+    /// Share of the requests, relative to the service's other back ends.
     pub weight: u32,
-    /// Whether it takes new work.
+    /// Whether it receives new requests.
     pub state: BackEndState,
     /// Whether it checks the fencing token of orders.
     pub checks_fence: bool,
-    /// Models, adapters and versions it is ordered to hold; empty: no orders are sent.
+    /// Models, adapters and versions that it is ordered to load. If empty, no orders are sent.
     pub loaded: Vec<ModelName>,
-    /// The role it is ordered to play.
+    /// The role that it is ordered to take.
     pub role: EngineRole,
 }
 
-/// A rule that sends a path to a plain service.
+/// A rule that routes a path to a plain service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RouteRow {
-    /// Paths that begin with this text match; the longest match wins.
+    /// Prefix of the paths that match. The rule with the longest matching prefix applies.
     pub path_prefix: String,
     /// Methods that match; empty for all.
     pub methods: Vec<String>,
-    /// Where matching requests go.
+    /// Service that receives matching requests.
     pub service: ServiceName,
-    /// Whether a request may be sent again after an attempt that may have reached a back end.
+    /// Whether a request may be retried after an attempt that may have reached a back end.
     pub repeatable: bool,
     /// Tokens charged for each answered request.
     pub cost: Tokens,
@@ -134,7 +134,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BudgetRow {
-    /// Tokens that may be spent in all, over the budget's life.
+    /// Tokens that may be spent in total, over the whole lifetime of the budget.
     pub limit: Tokens,
 }
 
@@ -144,39 +144,40 @@
 pub struct TenantRow {
     /// Hashes of its bearer keys.
     pub key_hashes: Vec<KeyHash>,
-    /// The budget its requests draw on.
+    /// The budget that its requests are charged to.
     pub budget: BudgetName,
     /// The zone that keeps its idempotency keys.
     pub home_zone: ZoneName,
-    /// Share of a full queue, relative to other tenants.
+    /// Share of a full queue, relative to the other tenants.
     pub weight: u32,
 }
 
-/// Knobs of the whole fleet. Times are in milliseconds, shares in thousandths.
+/// Options of the whole fleet. Times are in milliseconds unless the name says otherwise, shares in
+/// thousandths.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PolicyRow {
-    /// Part of what remains that is spread over the zones by weight rather than by demand.
+    /// Share of the remaining rights that is distributed over the zones by weight, not by demand.
     pub floor_share_permille: u32,
-    /// Part of a machine's rights set aside for the time when it has lost every backup.
+    /// Share of a machine's rights that is reserved for the time when it has no backup at all.
     pub solo_share_permille: u32,
-    /// Time between two levellings of rights among zones.
+    /// Time between two rebalancings of rights among the zones.
     pub level_interval_ms: u64,
-    /// Seconds of demand that a router asks for at once.
+    /// Seconds of demand that a router's request for rights covers.
     pub chunk_seconds: u32,
     /// Longest wait for rights from other machines before a request is refused.
     pub rights_wait_ms: u64,
-    /// How long answers to keyed requests are kept for a retry.
+    /// Time for which answers to requests with an idempotency key are kept for retries.
     pub key_retention_ms: u64,
-    /// Silence after which a router is taken for dead.
+    /// Time without a heartbeat after which a router is considered dead.
     pub router_timeout_ms: u64,
-    /// Silence after which a back end on the platform's list counts as gone.
+    /// Longest time that a draining router waits for its requests to end.
     pub drain_deadline_ms: u64,
-    /// Retries allowed for each thousand first attempts.
+    /// Retries allowed per thousand first attempts.
     pub retry_permille: u32,
-    /// Failures in a row that eject a back end.
+    /// Consecutive failures after which a back end is ejected.
     pub eject_after_failures: u32,
-    /// First ejection time; doubled at each further one.
+    /// Duration of the first ejection. It doubles at each further one.
     pub eject_ms: u64,
 }
 
@@ -198,49 +199,49 @@
     }
 }
 
-/// Where an account stands in its life.
+/// The state of an account.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AccountState {
-    /// Its opener owns it.
+    /// The router that opened the account owns it.
     Active,
-    /// Its opener is gone; the former backup owns it and empties it.
+    /// The router that opened it has ended. The former backup owns the account and empties it.
     Sealed,
-    /// Owner and backup are both gone; what it held counts as spent.
+    /// Owner and backup have both ended. The rights that the account held count as spent.
     Lost,
 }
 
-/// The view of an account: who may change it.
+/// An account: its owner, backup and state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AccountRow {
-    /// Grows by one at each change of this row.
+    /// Incremented at each change of this row.
     pub epoch: Epoch,
-    /// The zone of the opener.
+    /// The zone of the router that opened the account.
     pub zone: ZoneName,
     /// The only node that may change the account.
     pub owner: NodeId,
-    /// The node whose acknowledgement each change needs.
+    /// The node that must acknowledge each change.
     pub backup: Option<NodeId>,
-    /// Where it stands in its life.
+    /// The account's state.
     pub state: AccountState,
 }
 
 /// Rights issued for one budget. `limit in force = issued − returned + pool`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct IssueRow {
-    /// Rights issued to each account in all.
+    /// All rights ever issued to each account.
     pub issued: BTreeMap<AccountId, Tokens>,
-    /// Rights given back by each account in all.
+    /// All rights ever returned by each account.
     pub returned: BTreeMap<AccountId, Tokens>,
-    /// Rights issued to each zone in all, less those given back by it.
+    /// Rights issued to each zone, less those it has returned.
     pub by_zone: BTreeMap<ZoneName, Tokens>,
-    /// Rights not issued.
+    /// Rights that are not issued.
     pub pool: Tokens,
-    /// Rights that zones hold above the limit and must give back.
+    /// Rights that zones hold above the limit and must return.
     pub recall: Tokens,
 }
 
 impl IssueRow {
-    /// Rights out with the accounts, spent or not.
+    /// Rights issued to accounts and not returned, whether spent or not.
     pub fn held(&self) -> Tokens {
         let issued: Tokens = self.issued.values().copied().sum();
         let returned: Tokens = self.returned.values().copied().sum();
@@ -251,11 +252,11 @@
 /// Number of slots over which a zone's idempotency keys are spread.
 pub const KEY_SLOT_COUNT: usize = 16;
 
-/// Which accounts keep the idempotency keys of a zone.
+/// The accounts that keep the idempotency keys of a zone.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct KeySlotsRow {
     /// The account of each slot.
     pub accounts: Vec<AccountId>,
-    /// Slots whose earlier records were lost; a key unknown there may have been used before.
+    /// Slots whose earlier records were lost. A key unknown in such a slot may have been used.
     pub forgotten: Vec<bool>,
 }
--- a/crates/table/src/state_machine.rs
+++ b/crates/table/src/state_machine.rs
@@ -1,15 +1,15 @@
-//! The state machine that control replicas drive with committed log entries.
+//! The replicated state machine, to which control replicas apply committed log entries.
 
-use crate::issue::open_accounts;
+use crate::issue::active_accounts;
 use crate::*;
 use serde::{Deserialize, Serialize};
 use stackpost_types::*;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Edit outcomes kept for resent edits.
-const KEPT_OUTCOMES: usize = 10_000;
-/// Audit records kept in the replicated state.
-const KEPT_AUDIT_RECORDS: usize = 20_000;
+/// Number of edit outcomes kept to answer resent edits.
+const MAX_OUTCOMES: usize = 10_000;
+/// Number of audit records kept in the replicated state.
+const MAX_AUDIT_RECORDS: usize = 20_000;
 
 /// The replicated state: rows, edit outcomes and audit trail.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -20,9 +20,9 @@
     audit: VecDeque<AuditRecord>,
 }
 
-/// The form in which the state is written to a snapshot.
+/// Serialized form of the state in a snapshot.
 #[derive(Serialize, Deserialize)]
-struct SnapshotForm {
+struct SnapshotContents {
     version: Version,
     rows: Vec<(RowKey, Versioned)>,
     outcomes: Vec<(EditId, EditOutcome)>,
@@ -30,7 +30,7 @@
 }
 
 impl StateMachine {
-    /// The rows.
+    /// The table of rows.
     pub fn table(&self) -> &Table {
         &self.table
     }
@@ -40,13 +40,13 @@
         self.audit.iter()
     }
 
-    /// The outcome of an edit that was applied before.
+    /// The recorded outcome of an applied edit.
     pub fn outcome(&self, id: &EditId) -> Option<&EditOutcome> {
         self.outcomes.get(id)
     }
 
-    /// Applies the committed entry at `index`. Deterministic: depends on nothing but the arguments
-    /// and the state.
+    /// Applies the committed entry at `index`. Deterministic: the result depends only on the
+    /// arguments and the state.
     pub fn apply(&mut self, index: Version, command: &Command) -> CommandOutcome {
         let outcome = match command {
             Command::Noop => CommandOutcome::Done,
@@ -73,7 +73,7 @@
 
     /// Encodes the whole state.
     pub fn to_snapshot(&self) -> Vec<u8> {
-        let form = SnapshotForm {
+        let contents = SnapshotContents {
             version: self.table.version(),
             rows: self.table.all().map(|(key, row)| (key.clone(), row.clone())).collect(),
             outcomes: self
@@ -83,30 +83,30 @@
                 .collect(),
             audit: self.audit.iter().cloned().collect(),
         };
-        postcard::to_stdvec(&form).expect("the state has no type that postcard can't encode")
+        postcard::to_stdvec(&contents).expect("the state has no type that postcard can't encode")
     }
 
     /// Decodes what [`Self::to_snapshot`] wrote.
     pub fn from_snapshot(bytes: &[u8]) -> Result<Self, postcard::Error> {
-        let form: SnapshotForm = postcard::from_bytes(bytes)?;
-        let outcome_order = form.outcomes.iter().map(|(id, _)| id.clone()).collect();
+        let contents: SnapshotContents = postcard::from_bytes(bytes)?;
+        let outcome_order = contents.outcomes.iter().map(|(id, _)| id.clone()).collect();
         Ok(Self {
-            table: Table::from_rows(form.version, form.rows),
-            outcomes: form.outcomes.into_iter().collect(),
+            table: Table::from_rows(contents.version, contents.rows),
+            outcomes: contents.outcomes.into_iter().collect(),
             outcome_order,
-            audit: form.audit.into(),
+            audit: contents.audit.into(),
         })
     }
 
     fn apply_edit(&mut self, index: Version, edit: &Edit) -> EditOutcome {
-        // A resent edit gets its first outcome: applying it again could turn an acceptance into
-        // a conflict with itself.
+        // A resent edit gets its first outcome. If it were applied again, an accepted edit could
+        // conflict with its own write.
         if let Some(first) = self.outcomes.get(&edit.id) {
             return first.clone();
         }
         let old = self.table.get(&edit.key).cloned();
         let outcome = self.try_edit(index, edit);
-        self.remember(index, edit, old, &outcome);
+        self.record_outcome(index, edit, old, &outcome);
         outcome
     }
 
@@ -124,12 +124,12 @@
             return EditOutcome::Invalid(error);
         }
         self.table.write(index, edit.key.clone(), edit.row.clone());
-        let recall = self.after_write(index, edit);
+        let recall = self.update_issue(index, edit);
         EditOutcome::Accepted { version: index, recall }
     }
 
-    /// Follows up a written row where it changes what is issued.
-    fn after_write(&mut self, index: Version, edit: &Edit) -> Option<Recall> {
+    /// Adjusts the issue of a budget after its row was written.
+    fn update_issue(&mut self, index: Version, edit: &Edit) -> Option<Recall> {
         let (RowKey::Budget(name), Some(Row::Budget(budget))) = (&edit.key, &edit.row) else {
             return None;
         };
@@ -140,10 +140,16 @@
         must_recall.then_some(recall)
     }
 
-    fn remember(&mut self, index: Version, edit: &Edit, old: Option<Row>, outcome: &EditOutcome) {
+    fn record_outcome(
+        &mut self,
+        index: Version,
+        edit: &Edit,
+        old: Option<Row>,
+        outcome: &EditOutcome,
+    ) {
         self.outcomes.insert(edit.id.clone(), outcome.clone());
         self.outcome_order.push_back(edit.id.clone());
-        if self.outcome_order.len() > KEPT_OUTCOMES
+        if self.outcome_order.len() > MAX_OUTCOMES
             && let Some(oldest) = self.outcome_order.pop_front()
         {
             self.outcomes.remove(&oldest);
@@ -158,14 +164,14 @@
             new: edit.row.clone(),
             outcome: outcome.clone(),
         });
-        if self.audit.len() > KEPT_AUDIT_RECORDS {
+        if self.audit.len() > MAX_AUDIT_RECORDS {
             self.audit.pop_front();
         }
     }
 
     fn account(&self, account: &AccountId) -> Result<AccountRow, AccountRefusal> {
         match self.table.get(&RowKey::Account(account.clone())) {
-            Some(Row::Account(view)) => Ok(view.clone()),
+            Some(Row::Account(row)) => Ok(row.clone()),
             _ => Err(AccountRefusal::Unknown),
         }
     }
@@ -175,15 +181,15 @@
         account: &AccountId,
         expected: Epoch,
     ) -> Result<AccountRow, AccountRefusal> {
-        let view = self.account(account)?;
-        if view.epoch != expected {
+        let row = self.account(account)?;
+        if row.epoch != expected {
             return Err(AccountRefusal::StaleEpoch);
         }
-        Ok(view)
+        Ok(row)
     }
 
-    fn write_account(&mut self, index: Version, account: &AccountId, view: AccountRow) {
-        self.table.write(index, RowKey::Account(account.clone()), Some(Row::Account(view)));
+    fn write_account(&mut self, index: Version, account: &AccountId, row: AccountRow) {
+        self.table.write(index, RowKey::Account(account.clone()), Some(Row::Account(row)));
     }
 
     fn open_account(
@@ -192,17 +198,17 @@
         account: &AccountId,
         zone: &ZoneName,
     ) -> Result<Epoch, AccountRefusal> {
-        if let Ok(view) = self.account(account) {
-            return Ok(view.epoch);
+        if let Ok(row) = self.account(account) {
+            return Ok(row.epoch);
         }
-        let view = AccountRow {
+        let row = AccountRow {
             epoch: Epoch(1),
             zone: zone.clone(),
             owner: account.opener.clone(),
             backup: None,
             state: AccountState::Active,
         };
-        self.write_account(index, account, view);
+        self.write_account(index, account, row);
         Ok(Epoch(1))
     }
 
@@ -213,18 +219,18 @@
         expected: Epoch,
         backup: &NodeId,
     ) -> Result<Epoch, AccountRefusal> {
-        let mut view = self.account_at(account, expected)?;
-        if view.state == AccountState::Lost || view.owner == *backup {
+        let mut row = self.account_at(account, expected)?;
+        if row.state == AccountState::Lost || row.owner == *backup {
             return Err(AccountRefusal::WrongState);
         }
-        let first_backup = view.backup.is_none();
-        view.epoch = expected.next();
-        view.backup = Some(backup.clone());
-        let epoch = view.epoch;
-        let zone = view.zone.clone();
-        let active = view.state == AccountState::Active;
-        self.write_account(index, account, view);
-        // Rights and keys are entrusted to an account only once a second machine holds it.
+        let first_backup = row.backup.is_none();
+        row.epoch = expected.next();
+        row.backup = Some(backup.clone());
+        let epoch = row.epoch;
+        let zone = row.zone.clone();
+        let active = row.state == AccountState::Active;
+        self.write_account(index, account, row);
+        // An account receives rights and keys only once a second machine holds a copy of it.
         if first_backup && active {
             self.assign_key_slots(index, &zone);
             self.issue_for_zone(index, &zone);
@@ -238,18 +244,18 @@
         account: &AccountId,
         expected: Epoch,
     ) -> Result<Epoch, AccountRefusal> {
-        let mut view = self.account_at(account, expected)?;
-        let Some(adopter) = view.backup.take() else {
+        let mut row = self.account_at(account, expected)?;
+        let Some(new_owner) = row.backup.take() else {
             return Err(AccountRefusal::WrongState);
         };
-        if view.state == AccountState::Lost {
+        if row.state == AccountState::Lost {
             return Err(AccountRefusal::WrongState);
         }
-        view.epoch = expected.next();
-        view.owner = adopter;
-        view.state = AccountState::Sealed;
-        let epoch = view.epoch;
-        self.write_account(index, account, view);
+        row.epoch = expected.next();
+        row.owner = new_owner;
+        row.state = AccountState::Sealed;
+        let epoch = row.epoch;
+        self.write_account(index, account, row);
         Ok(epoch)
     }
 
@@ -259,24 +265,25 @@
         account: &AccountId,
         expected: Epoch,
     ) -> Result<Epoch, AccountRefusal> {
-        let mut view = self.account_at(account, expected)?;
-        if view.state == AccountState::Lost {
+        let mut row = self.account_at(account, expected)?;
+        if row.state == AccountState::Lost {
             return Err(AccountRefusal::WrongState);
         }
-        view.epoch = expected.next();
-        view.backup = None;
-        view.state = AccountState::Lost;
-        let epoch = view.epoch;
-        let zone = view.zone.clone();
-        self.write_account(index, account, view);
+        row.epoch = expected.next();
+        row.backup = None;
+        row.state = AccountState::Lost;
+        let epoch = row.epoch;
+        let zone = row.zone.clone();
+        self.write_account(index, account, row);
         self.assign_key_slots(index, &zone);
         Ok(epoch)
     }
 
-    /// Gives every slot of `zone` without a living keeper to an open account that has a backup.
+    /// Assigns every key slot of `zone` that has no account, or a lost one, to an active account
+    /// with a backup.
     fn assign_key_slots(&mut self, index: Version, zone: &ZoneName) {
-        let candidates: Vec<AccountId> = open_accounts(&self.table, zone)
-            .filter(|account| self.account(account).is_ok_and(|view| view.backup.is_some()))
+        let candidates: Vec<AccountId> = active_accounts(&self.table, zone)
+            .filter(|account| self.account(account).is_ok_and(|row| row.backup.is_some()))
             .collect();
         if candidates.is_empty() {
             return;
@@ -288,9 +295,9 @@
         };
         let mut slots = KeySlotsRow { accounts: Vec::new(), forgotten: Vec::new() };
         for slot in 0..KEY_SLOT_COUNT {
-            let held = old.as_ref().map(|row| (&row.accounts[slot], row.forgotten[slot]));
-            let living = held.filter(|(account, _)| self.is_living(account));
-            match living {
+            let previous = old.as_ref().map(|row| (&row.accounts[slot], row.forgotten[slot]));
+            let retained = previous.filter(|(account, _)| self.is_not_lost(account));
+            match retained {
                 Some((account, forgotten)) => {
                     slots.accounts.push(account.clone());
                     slots.forgotten.push(forgotten);
@@ -299,9 +306,9 @@
                     let rank = |account: &&AccountId| {
                         rendezvous_rank(&slot.to_string(), &account.to_string())
                     };
-                    let keeper = candidates.iter().max_by_key(rank).expect("not empty");
-                    slots.accounts.push(keeper.clone());
-                    slots.forgotten.push(held.is_some());
+                    let chosen = candidates.iter().max_by_key(rank).expect("not empty");
+                    slots.accounts.push(chosen.clone());
+                    slots.forgotten.push(previous.is_some());
                 }
             }
         }
@@ -310,11 +317,11 @@
         }
     }
 
-    fn is_living(&self, account: &AccountId) -> bool {
-        self.account(account).is_ok_and(|view| view.state != AccountState::Lost)
+    fn is_not_lost(&self, account: &AccountId) -> bool {
+        self.account(account).is_ok_and(|row| row.state != AccountState::Lost)
     }
 
-    /// Issues each budget's share for `zone`, which has got its first account.
+    /// Issues the share of `zone` of each budget, after the zone's first account was opened.
     fn issue_for_zone(&mut self, index: Version, zone: &ZoneName) {
         let budgets: Vec<(BudgetName, Tokens)> = self
             .table
@@ -326,9 +333,9 @@
             .collect();
         for (name, limit) in budgets {
             let key = RowKey::Issue(name.clone());
-            let served = matches!(self.table.get(&key), Some(Row::Issue(issue))
+            let already_issued = matches!(self.table.get(&key), Some(Row::Issue(issue))
                 if issue.by_zone.contains_key(zone));
-            if !served {
+            if !already_issued {
                 let issue = issue_to_zones(&self.table, &name, limit);
                 self.table.write(index, key, Some(Row::Issue(issue)));
             }
@@ -343,19 +350,19 @@
         total: Tokens,
     ) -> CommandOutcome {
         let key = RowKey::Issue(budget.clone());
-        let (Some(Row::Issue(issue)), Ok(view)) = (self.table.get(&key), self.account(account))
+        let (Some(Row::Issue(issue)), Ok(row)) = (self.table.get(&key), self.account(account))
         else {
             return CommandOutcome::Done;
         };
         let mut issue = issue.clone();
-        let known = issue.returned.entry(account.clone()).or_default();
-        let more = total - *known;
-        if more.is_zero() {
+        let recorded = issue.returned.entry(account.clone()).or_default();
+        let increase = total - *recorded;
+        if increase.is_zero() {
             return CommandOutcome::Issue(issue);
         }
-        *known = total;
-        let of_zone = issue.by_zone.entry(view.zone).or_default();
-        *of_zone = *of_zone - more;
+        *recorded = total;
+        let zone_rights = issue.by_zone.entry(row.zone).or_default();
+        *zone_rights = *zone_rights - increase;
         self.table.write(index, key.clone(), Some(Row::Issue(issue)));
         let limit = match self.table.get(&RowKey::Budget(budget.clone())) {
             Some(Row::Budget(row)) => row.limit,
--- a/crates/table/src/store.rs
+++ b/crates/table/src/store.rs
@@ -1,4 +1,4 @@
-//! Rows with versions, and the deltas by which routers follow them.
+//! Versioned rows, and the deltas by which routers update their copies.
 
 use crate::{AccountRow, Row, RowKey};
 use serde::{Deserialize, Serialize};
@@ -7,20 +7,20 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// A row and the version that last wrote it.
+/// A row with the version that last wrote it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Versioned {
     /// Log index of the write.
     pub version: Version,
-    /// The content, shared by all who hold this version; `None` for a deleted row, which is kept so
-    /// that deltas can carry the deletion.
+    /// The content, shared between copies of this version. `None` for a deleted row, which is kept
+    /// so that deltas include the deletion.
     pub row: Option<Arc<Row>>,
 }
 
 /// Every row that changed after `from`, up to `to`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Delta {
-    /// The receiver must hold at least this version.
+    /// The version that the receiver must hold at least.
     pub from: Version,
     /// The version the receiver holds afterwards.
     pub to: Version,
@@ -42,13 +42,13 @@
     pub fn from_rows(version: Version, rows: Vec<(RowKey, Versioned)>) -> Self {
         let mut table = Self::default();
         for (key, versioned) in rows {
-            table.put(key, versioned);
+            table.insert_row(key, versioned);
         }
         table.version = version;
         table
     }
 
-    /// Version of the newest write that this table reflects.
+    /// Version of the newest log entry that this table reflects.
     pub fn version(&self) -> Version {
         self.version
     }
@@ -58,7 +58,7 @@
         self.rows.get(key)?.row.as_deref()
     }
 
-    /// The row `key` with its version, also when it was deleted.
+    /// The row `key` with its version, also if it was deleted.
     pub fn get_versioned(&self, key: &RowKey) -> Option<&Versioned> {
         self.rows.get(key)
     }
@@ -68,7 +68,7 @@
         self.rows.iter().filter_map(|(key, versioned)| Some((key, versioned.row.as_deref()?)))
     }
 
-    /// Every account and its view.
+    /// Every account with its row.
     pub fn accounts(&self) -> impl Iterator<Item = (&AccountId, &AccountRow)> {
         self.rows.range(lowest_account_key()..lowest_issue_key()).filter_map(|(key, versioned)| {
             match (key, versioned.row.as_deref()) {
@@ -86,27 +86,28 @@
     /// Writes or deletes a row at `version`, which must not be below the table's own.
     pub fn write(&mut self, version: Version, key: RowKey, row: Option<Row>) {
         debug_assert!(version >= self.version);
-        self.put(key, Versioned { version, row: row.map(Arc::new) });
+        self.insert_row(key, Versioned { version, row: row.map(Arc::new) });
         self.version = version;
     }
 
-    /// Moves the table's version on without a change of rows.
+    /// Advances the table's version without changing rows.
     pub fn advance(&mut self, version: Version) {
         self.version = self.version.max(version);
     }
 
-    /// What a holder of version `have` lacks.
-    pub fn delta_since(&self, have: Version) -> Delta {
+    /// The changes after `held_version`.
+    pub fn delta_since(&self, held_version: Version) -> Delta {
         let rows = self
             .by_version
-            .range((Version(have.0 + 1), lowest_key())..)
+            .range((Version(held_version.0 + 1), lowest_key())..)
             .map(|(_, key)| (key.clone(), self.rows[key].clone()))
             .collect();
-        Delta { from: have, to: self.version, rows }
+        Delta { from: held_version, to: self.version, rows }
     }
 
-    /// Takes in a delta. Returns the keys it changed, or `None` if it starts above what this table
-    /// holds or ends at or below it. A table never goes back to an older version.
+    /// Applies a delta and returns the keys that it changed. Returns `None` if the delta starts
+    /// above this table's version or ends at or below it: a table never returns to an older
+    /// version.
     pub fn apply(&mut self, delta: &Delta) -> Option<Vec<RowKey>> {
         if delta.from > self.version || delta.to <= self.version {
             return None;
@@ -115,7 +116,7 @@
         for (key, versioned) in &delta.rows {
             let known = self.rows.get(key).map(|held| held.version).unwrap_or_default();
             if versioned.version > known {
-                self.put(key.clone(), versioned.clone());
+                self.insert_row(key.clone(), versioned.clone());
                 changed.push(key.clone());
             }
         }
@@ -123,12 +124,12 @@
         Some(changed)
     }
 
-    /// The tenant that a bearer key belongs to.
+    /// The tenant that owns the bearer key with this hash.
     pub fn tenant_of_key(&self, hash: &KeyHash) -> Option<&TenantName> {
         self.tenant_by_key.get(hash)
     }
 
-    fn put(&mut self, key: RowKey, versioned: Versioned) {
+    fn insert_row(&mut self, key: RowKey, versioned: Versioned) {
         let version = versioned.version;
         self.index_tenant(&key, &versioned);
         if let Some(old) = self.rows.insert(key.clone(), versioned) {
@@ -139,7 +140,7 @@
 }
 
 impl Table {
-    /// Keeps the index of bearer keys in line with a tenant's row that is about to be replaced.
+    /// Updates the index of bearer keys for a tenant's row that is about to be replaced.
     fn index_tenant(&mut self, key: &RowKey, new: &Versioned) {
         let RowKey::Tenant(name) = key else { return };
         if let Some(Row::Tenant(old)) = self.rows.get(key).and_then(|held| held.row.as_deref()) {
@@ -155,7 +156,7 @@
     }
 }
 
-/// Sorts before every key that can be stored, since no name is empty.
+/// A key that sorts before every stored key, since names are not empty.
 fn lowest_key() -> RowKey {
     RowKey::Zone(ZoneName::new(""))
 }
--- a/crates/table/tests/edits.rs
+++ b/crates/table/tests/edits.rs
@@ -1,4 +1,5 @@
-//! Edits: checked, versioned, resendable, and never lost or reverted.
+//! Edits of the table: they are validated, versioned and idempotent, and are never lost or
+//! reverted.
 
 use serde_json::json;
 use stackpost_table::*;
@@ -16,8 +17,8 @@
     })
 }
 
-fn outcome(machine: &mut StateMachine, index: u64, command: &Command) -> EditOutcome {
-    match machine.apply(Version(index), command) {
+fn outcome(state_machine: &mut StateMachine, index: u64, command: &Command) -> EditOutcome {
+    match state_machine.apply(Version(index), command) {
         CommandOutcome::Edit(outcome) => outcome,
         other => panic!("{other:?}"),
     }
@@ -36,25 +37,25 @@
 }
 
 #[test]
-fn the_second_of_two_racing_edits_is_told_the_row_as_it_is() {
-    let mut machine = StateMachine::default();
+fn the_later_of_two_conflicting_edits_gets_the_current_row() {
+    let mut state_machine = StateMachine::default();
     let key = || RowKey::Zone("north".into());
-    assert_eq!(outcome(&mut machine, 1, &edit("a", key(), 0, zone(1))), accepted(1));
-    assert_eq!(outcome(&mut machine, 2, &edit("b", key(), 1, zone(2))), accepted(2));
+    assert_eq!(outcome(&mut state_machine, 1, &edit("a", key(), 0, zone(1))), accepted(1));
+    assert_eq!(outcome(&mut state_machine, 2, &edit("b", key(), 1, zone(2))), accepted(2));
     let current = Some(Versioned { version: Version(2), row: zone(2).map(Into::into) });
-    let lost = outcome(&mut machine, 3, &edit("c", key(), 1, zone(2)));
+    let lost = outcome(&mut state_machine, 3, &edit("c", key(), 1, zone(2)));
     assert_eq!(lost, EditOutcome::Conflict { current });
     // A resent edit gets its first outcome, also after a snapshot.
-    let mut restored = StateMachine::from_snapshot(&machine.to_snapshot()).expect("restores");
-    assert_eq!(restored, machine);
+    let mut restored = StateMachine::from_snapshot(&state_machine.to_snapshot()).expect("restores");
+    assert_eq!(restored, state_machine);
     assert_eq!(outcome(&mut restored, 4, &edit("a", key(), 0, zone(1))), accepted(1));
-    let trail: Vec<_> = restored.audit().map(|record| record.outcome.clone()).collect();
-    assert_eq!(trail.len(), 3);
+    let outcomes: Vec<_> = restored.audit().map(|record| record.outcome.clone()).collect();
+    assert_eq!(outcomes.len(), 3);
 }
 
 #[test]
-fn wrong_rows_are_refused_with_their_field() {
-    let mut machine = StateMachine::default();
+fn invalid_rows_are_refused_with_the_field_name() {
+    let mut state_machine = StateMachine::default();
     let cases = [
         (
             "machine",
@@ -81,7 +82,7 @@
         let key = parse_key(table, "row").expect("a key");
         let row = parse_row(&key, row).expect("a row");
         let command = edit(table, key, 0, Some(row));
-        match outcome(&mut machine, index as u64 + 1, &command) {
+        match outcome(&mut state_machine, index as u64 + 1, &command) {
             EditOutcome::Invalid(error) => assert_eq!(error.field, field, "{error}"),
             other => panic!("{table}: {other:?}"),
         }
@@ -90,110 +91,124 @@
     let error = parse_row(&key, json!({"limit": 1, "limt": 2})).expect_err("unknown field");
     assert!(error.to_string().contains("limt"), "{error}");
     assert!(parse_key("budgets", "row").is_err());
-    let named = edit("name", RowKey::Zone("a b".into()), 0, zone(1));
-    assert!(matches!(outcome(&mut machine, 9, &named), EditOutcome::Invalid(_)));
+    let invalid_name = edit("name", RowKey::Zone("a b".into()), 0, zone(1));
+    assert!(matches!(outcome(&mut state_machine, 9, &invalid_name), EditOutcome::Invalid(_)));
 }
 
-/// A fleet of two zones with an account each that has a backup.
+/// A fleet of two zones, each with one account that has a backup.
 fn with_accounts() -> (StateMachine, Vec<AccountId>) {
-    let mut machine = StateMachine::default();
+    let mut state_machine = StateMachine::default();
     let mut accounts = Vec::new();
     let mut index = 1;
-    let mut apply = |machine: &mut StateMachine, command: Command| {
-        machine.apply(Version(index), &command);
+    let mut apply = |state_machine: &mut StateMachine, command: Command| {
+        state_machine.apply(Version(index), &command);
         index += 1;
     };
     for name in ["north", "south"] {
-        apply(&mut machine, edit(name, RowKey::Zone(name.into()), 0, zone(1)));
+        apply(&mut state_machine, edit(name, RowKey::Zone(name.into()), 0, zone(1)));
         let node = NodeId { machine: name.into(), incarnation: Incarnation(1) };
         let account = AccountId::mirrored(&node);
-        apply(&mut machine, Command::OpenAccount { account: account.clone(), zone: name.into() });
+        apply(
+            &mut state_machine,
+            Command::OpenAccount { account: account.clone(), zone: name.into() },
+        );
         let backup = NodeId { machine: "other".into(), incarnation: Incarnation(1) };
         let expected = Epoch(1);
-        apply(&mut machine, Command::ChangeBackup { account: account.clone(), expected, backup });
+        apply(
+            &mut state_machine,
+            Command::ChangeBackup { account: account.clone(), expected, backup },
+        );
         accounts.push(account);
     }
-    (machine, accounts)
+    (state_machine, accounts)
 }
 
-fn issue(machine: &StateMachine) -> IssueRow {
-    match machine.table().get(&RowKey::Issue("b".into())) {
+fn issue(state_machine: &StateMachine) -> IssueRow {
+    match state_machine.table().get(&RowKey::Issue("b".into())) {
         Some(Row::Issue(issue)) => issue.clone(),
         other => panic!("{other:?}"),
     }
 }
 
 #[test]
-fn a_budget_is_issued_by_zone_and_lowered_only_as_far_as_rights_come_back() {
-    let (mut machine, accounts) = with_accounts();
+fn a_budget_is_lowered_only_as_far_as_rights_are_returned() {
+    let (mut state_machine, accounts) = with_accounts();
     let key = || RowKey::Budget("b".into());
-    assert_eq!(outcome(&mut machine, 20, &edit("new", key(), 0, budget(1_001))), accepted(20));
-    let issued = issue(&machine);
+    assert_eq!(
+        outcome(&mut state_machine, 20, &edit("new", key(), 0, budget(1_001))),
+        accepted(20)
+    );
+    let issued = issue(&state_machine);
     assert_eq!((issued.held(), issued.pool), (Tokens(1_001), Tokens(0)));
-    let lowered = outcome(&mut machine, 21, &edit("down", key(), 20, budget(600)));
+    let lowered = outcome(&mut state_machine, 21, &edit("down", key(), 20, budget(600)));
     let recall = Recall { limit: Tokens(600), held: Tokens(1_001) };
     let expected = EditOutcome::Accepted { version: Version(21), recall: Some(recall) };
     assert_eq!(lowered, expected);
-    let give_back = |total: u64| Command::CommitReturn {
+    let commit_return = |total: u64| Command::CommitReturn {
         budget: "b".into(),
         account: accounts[0].clone(),
         total: Tokens(total),
     };
-    machine.apply(Version(22), &give_back(300));
-    machine.apply(Version(23), &give_back(300));
-    assert_eq!(issue(&machine).recall, Tokens(101));
-    machine.apply(Version(24), &give_back(450));
-    let after = issue(&machine);
-    // What came back beyond the recall is issued again; limit in force = held + pool.
+    state_machine.apply(Version(22), &commit_return(300));
+    state_machine.apply(Version(23), &commit_return(300));
+    assert_eq!(issue(&state_machine).recall, Tokens(101));
+    state_machine.apply(Version(24), &commit_return(450));
+    let after = issue(&state_machine);
+    // Rights returned beyond the recall are issued again; limit in force = held + pool.
     assert_eq!((after.recall, after.held() + after.pool), (Tokens(0), Tokens(600)));
 }
 
 #[test]
-fn views_change_only_from_the_epoch_that_was_seen() {
-    let (mut machine, accounts) = with_accounts();
+fn accounts_change_only_from_the_expected_epoch() {
+    let (mut state_machine, accounts) = with_accounts();
     let account = accounts[0].clone();
     let seal = |expected| Command::Seal { account: account.clone(), expected: Epoch(expected) };
-    let stale = machine.apply(Version(30), &seal(1));
+    let stale = state_machine.apply(Version(30), &seal(1));
     assert_eq!(stale, CommandOutcome::Account(Err(AccountRefusal::StaleEpoch)));
-    let sealed = machine.apply(Version(31), &seal(2));
+    let sealed = state_machine.apply(Version(31), &seal(2));
     assert_eq!(sealed, CommandOutcome::Account(Ok(Epoch(3))));
-    let without_backup = machine.apply(Version(32), &seal(3));
+    let without_backup = state_machine.apply(Version(32), &seal(3));
     assert_eq!(without_backup, CommandOutcome::Account(Err(AccountRefusal::WrongState)));
-    let slots =
-        |machine: &StateMachine| match machine.table().get(&RowKey::KeySlots("north".into())) {
-            Some(Row::KeySlots(row)) => row.clone(),
-            other => panic!("{other:?}"),
-        };
-    assert!(slots(&machine).accounts.iter().all(|keeper| *keeper == account));
-    let lose = Command::MarkLost { account: account.clone(), expected: Epoch(3) };
-    machine.apply(Version(33), &lose);
+    let slots = |state_machine: &StateMachine| match state_machine
+        .table()
+        .get(&RowKey::KeySlots("north".into()))
+    {
+        Some(Row::KeySlots(row)) => row.clone(),
+        other => panic!("{other:?}"),
+    };
+    assert!(slots(&state_machine).accounts.iter().all(|holder| *holder == account));
+    let mark_lost = Command::MarkLost { account: account.clone(), expected: Epoch(3) };
+    state_machine.apply(Version(33), &mark_lost);
     let node = NodeId { machine: "north".into(), incarnation: Incarnation(2) };
-    let fresh = AccountId::mirrored(&node);
-    let open = Command::OpenAccount { account: fresh.clone(), zone: "north".into() };
-    machine.apply(Version(34), &open);
+    let new_account = AccountId::mirrored(&node);
+    let open = Command::OpenAccount { account: new_account.clone(), zone: "north".into() };
+    state_machine.apply(Version(34), &open);
     let (expected, backup) =
         (Epoch(1), NodeId { machine: "x".into(), incarnation: Incarnation(1) });
-    machine.apply(Version(35), &Command::ChangeBackup { account: fresh.clone(), expected, backup });
-    let slots = slots(&machine);
-    assert!(slots.accounts.iter().all(|keeper| *keeper == fresh));
+    state_machine.apply(
+        Version(35),
+        &Command::ChangeBackup { account: new_account.clone(), expected, backup },
+    );
+    let slots = slots(&state_machine);
+    assert!(slots.accounts.iter().all(|holder| *holder == new_account));
     assert!(slots.forgotten.iter().all(|forgotten| *forgotten));
 }
 
 #[test]
-fn a_router_follows_by_deltas_and_never_goes_back() {
-    let mut machine = StateMachine::default();
-    machine.apply(Version(1), &edit("a", RowKey::Zone("a".into()), 0, zone(1)));
+fn deltas_update_a_table_and_never_revert_it() {
+    let mut state_machine = StateMachine::default();
+    state_machine.apply(Version(1), &edit("a", RowKey::Zone("a".into()), 0, zone(1)));
     let mut follower = Table::default();
-    let first = machine.table().delta_since(Version(0));
+    let first = state_machine.table().delta_since(Version(0));
     assert!(follower.apply(&first).is_some());
-    machine.apply(Version(2), &edit("b", RowKey::Zone("b".into()), 0, zone(1)));
-    machine.apply(Version(3), &edit("c", RowKey::Zone("a".into()), 1, None));
-    let second = machine.table().delta_since(Version(1));
+    state_machine.apply(Version(2), &edit("b", RowKey::Zone("b".into()), 0, zone(1)));
+    state_machine.apply(Version(3), &edit("c", RowKey::Zone("a".into()), 1, None));
+    let second = state_machine.table().delta_since(Version(1));
     assert_eq!(second.rows.len(), 2);
     assert!(follower.apply(&second).is_some());
     assert_eq!(follower.get(&RowKey::Zone("a".into())), None);
-    assert!(follower.apply(&first).is_none(), "an older one is refused");
+    assert!(follower.apply(&first).is_none(), "an older delta is refused");
     let gap = Delta { from: Version(9), to: Version(10), rows: Vec::new() };
-    assert!(follower.apply(&gap).is_none(), "one with a gap is refused");
+    assert!(follower.apply(&gap).is_none(), "a delta with a gap is refused");
     assert_eq!(follower.version(), Version(3));
 }
--- a/crates/transport/src/inbox.rs
+++ b/crates/transport/src/inbox.rs
@@ -11,32 +11,32 @@
 use tarpc::server::{BaseChannel, Channel};
 use tarpc::tokio_serde::formats::Bincode;
 
-/// What to do with a parcel. Must not block.
-type Receiver = Arc<dyn Fn(MessageBatch) + Send + Sync>;
+/// Handles a received batch. Must not block.
+type BatchHandler = Arc<dyn Fn(MessageBatch) + Send + Sync>;
 
 #[derive(Clone)]
 struct Server {
-    receiver: Receiver,
+    handler: BatchHandler,
 }
 
 impl Fleet for Server {
-    // The parcel is handed over in one step: if the sender goes away, this future may be dropped
-    // at any await.
+    // The handler is called without an await before it: if the sender disconnects, this future may
+    // be dropped at any await.
     async fn deliver(self, _: Context, batch: MessageBatch) {
-        (self.receiver)(batch);
+        (self.handler)(batch);
     }
 }
 
-/// Receives parcels on `address` for ever. The listener is bound before this returns.
+/// Receives batches on `address` until the process exits. The listener is bound when this returns.
 pub async fn listen(
     address: SocketAddr,
-    receiver: impl Fn(MessageBatch) + Send + Sync + 'static,
+    handler: impl Fn(MessageBatch) + Send + Sync + 'static,
 ) -> Result<(), PeerError> {
     let mut listener = tcp::listen(address, Bincode::default)
         .await
         .map_err(|error| PeerError::new(Step::Listen, address, error))?;
     listener.config_mut().max_frame_length(MAX_BATCH_BYTES);
-    let server = Server { receiver: Arc::new(receiver) };
+    let server = Server { handler: Arc::new(handler) };
     tokio::spawn(async move {
         while let Some(connection) = listener.next().await {
             match connection {
@@ -47,7 +47,7 @@
                         tokio::spawn(response);
                     }));
                 }
-                Err(error) => log::warn!("accept on {address}: {error}"),
+                Err(error) => log::warn!("cannot accept a connection on {address}: {error}"),
             }
         }
     });
--- a/crates/transport/src/outbox.rs
+++ b/crates/transport/src/outbox.rs
@@ -1,4 +1,4 @@
-//! The sending side.
+//! Sending of messages.
 
 use crate::{DELIVERY_TIMEOUT, FleetClient, MAX_BATCH_BYTES};
 use stackpost_protocol::{Message, MessageBatch, Peer};
@@ -13,16 +13,16 @@
 use tarpc::tokio_serde::formats::Bincode;
 use tokio::sync::mpsc;
 
-/// Messages that may wait for one peer; more are dropped.
-const QUEUE_LIMIT: usize = 4_096;
-/// Messages in one parcel.
+/// Messages that may be queued for one peer. Further ones are dropped.
+const QUEUE_CAPACITY: usize = 4_096;
+/// Largest number of messages that are sent together.
 const MESSAGES_PER_BATCH: usize = 256;
-/// Pause after a failed connection.
-const RECONNECT_PAUSE: Millis = Millis(100);
-/// Longest wait for a connection.
+/// Delay after a failed connection attempt.
+const RECONNECT_DELAY: Millis = Millis(100);
+/// Longest wait for a connection to be established.
 const CONNECT_TIMEOUT: Millis = Millis(800);
-/// A peer to which nothing was sent for so long loses its connection.
-const IDLE_LIMIT: Millis = Millis(60_000);
+/// Time without a message to a peer after which its connection is closed.
+const IDLE_TIMEOUT: Millis = Millis(60_000);
 
 type Queue = mpsc::Sender<(Peer, Message)>;
 
@@ -34,52 +34,52 @@
 }
 
 impl Outbox {
-    /// An outbox of the process `from`. Must be made inside a Tokio runtime.
+    /// Creates the outbox of the process `from`. Must be used within a Tokio runtime.
     pub fn new(from: Peer) -> Self {
         Self { from: Arc::new(Mutex::new(from)), queues: Arc::default() }
     }
 
-    /// Sends under another name from now on.
+    /// Changes the sender's name in the batches that follow.
     pub fn set_sender(&self, from: Peer) {
         *self.from.lock().unwrap_or_else(PoisonError::into_inner) = from;
     }
 
-    /// Queues a message. It is dropped if too many wait for the same peer.
+    /// Queues a message. It is dropped if the peer's queue is full.
     pub fn send(&self, address: SocketAddr, to: Peer, message: Message) {
         let mut queues = self.queues.lock().unwrap_or_else(PoisonError::into_inner);
-        let queue = queues.entry(address).or_insert_with(|| self.start(address));
+        let queue = queues.entry(address).or_insert_with(|| self.start_queue(address));
         if let Err(mpsc::error::TrySendError::Closed(item)) = queue.try_send((to, message)) {
-            let fresh = self.start(address);
-            // The queue is new and empty, so this can't fail for lack of room.
-            let _ = fresh.try_send(item);
-            queues.insert(address, fresh);
+            let new_queue = self.start_queue(address);
+            // The queue is new and empty, so it has capacity for this message.
+            let _ = new_queue.try_send(item);
+            queues.insert(address, new_queue);
         }
     }
 
-    fn start(&self, address: SocketAddr) -> Queue {
-        let (sender, receiver) = mpsc::channel(QUEUE_LIMIT);
+    fn start_queue(&self, address: SocketAddr) -> Queue {
+        let (sender, receiver) = mpsc::channel(QUEUE_CAPACITY);
         tokio::spawn(deliver_to(address, self.from.clone(), receiver));
         sender
     }
 }
 
-/// Delivers what is queued for one peer until it has been idle for long.
+/// Delivers the messages queued for one peer until none is queued within the idle timeout.
 async fn deliver_to(
     address: SocketAddr,
     from: Arc<Mutex<Peer>>,
     mut queue: mpsc::Receiver<(Peer, Message)>,
 ) {
     let mut client = None;
-    let idle = Duration::from_millis(IDLE_LIMIT.0);
+    let idle = Duration::from_millis(IDLE_TIMEOUT.0);
     while let Ok(Some(first)) = tokio::time::timeout(idle, queue.recv()).await {
         let sender = from.lock().unwrap_or_else(PoisonError::into_inner).clone();
-        let batches = gather(sender, first, &mut queue);
+        let batches = group_by_receiver(sender, first, &mut queue);
         if client.is_none() {
             client = connect(address).await;
         }
         let Some(connected) = &client else {
-            // Drop what has gathered: by the time the peer is back it would be old news.
-            tokio::time::sleep(Duration::from_millis(RECONNECT_PAUSE.0)).await;
+            // Drop the queued messages: they would be outdated when the peer is reachable again.
+            tokio::time::sleep(Duration::from_millis(RECONNECT_DELAY.0)).await;
             while queue.try_recv().is_ok() {}
             continue;
         };
@@ -87,7 +87,7 @@
             let mut call = context::current();
             call.deadline = Instant::now() + Duration::from_millis(DELIVERY_TIMEOUT.0);
             if let Err(error) = connected.deliver(call, batch).await {
-                log::debug!("send to {address}: {error}");
+                log::debug!("cannot send to {address}: {error}");
                 client = None;
                 break;
             }
@@ -95,22 +95,22 @@
     }
 }
 
-/// Takes what waits and groups it by receiver, keeping the order.
-fn gather(
+/// Takes queued messages and groups consecutive ones by receiver. Their order is kept.
+fn group_by_receiver(
     from: Peer,
     first: (Peer, Message),
     queue: &mut mpsc::Receiver<(Peer, Message)>,
 ) -> Vec<MessageBatch> {
     let mut batches: Vec<MessageBatch> = Vec::new();
     let mut next = Some(first);
-    let mut taken = 0;
+    let mut message_count = 0;
     while let Some((to, message)) = next {
         match batches.last_mut().filter(|batch| batch.to == to) {
             Some(batch) => batch.messages.push(message),
             None => batches.push(MessageBatch { from: from.clone(), to, messages: vec![message] }),
         }
-        taken += 1;
-        next = if taken < MESSAGES_PER_BATCH { queue.try_recv().ok() } else { None };
+        message_count += 1;
+        next = if message_count < MESSAGES_PER_BATCH { queue.try_recv().ok() } else { None };
     }
     batches
 }
@@ -122,7 +122,7 @@
     match tokio::time::timeout(limit, connecting).await {
         Ok(Ok(transport)) => Some(FleetClient::new(Config::default(), transport).spawn()),
         Ok(Err(error)) => {
-            log::debug!("connect to {address}: {error}");
+            log::debug!("cannot connect to {address}: {error}");
             None
         }
         Err(_) => None,
