--- a/crates/e2e/src/ask.rs
+++ b/crates/e2e/src/api_request.rs
@@ -1,4 +1,4 @@
-//! Requests of callers.
+//! Requests that tests send as callers, and their responses.
 
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
@@ -7,24 +7,24 @@
 use stackpost_http::{Bytes, Client, HeaderMap, StatusCode};
 use std::net::SocketAddr;
 
-/// A request to one router.
+/// A POST request to one router.
 #[derive(Clone, Debug)]
-pub struct Ask {
-    /// The router.
+pub struct ApiRequest {
+    /// Caller address of the router.
     pub api: SocketAddr,
-    /// Method and path.
+    /// Path and query.
     pub path: String,
-    /// The bearer key; empty for none.
+    /// The bearer key; empty: no `authorization` header.
     pub key: String,
-    /// The `Idempotency-Key`.
+    /// The `Idempotency-Key` header, if any.
     pub idempotency_key: Option<String>,
     /// The body.
     pub body: Bytes,
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Clone, Debug)]
-pub struct Reply {
+pub struct ApiResponse {
     /// The status.
     pub status: StatusCode,
     /// The headers.
@@ -33,8 +33,9 @@
     pub body: String,
 }
 
-impl Ask {
-    /// A chat request for `tokens` tokens; the prompt makes its answer its own.
+impl ApiRequest {
+    /// A chat request that asks the stand-in engine for `tokens` tokens; the response depends on
+    /// the prompt.
     pub fn chat(api: SocketAddr, prompt: &str, tokens: u64, stream: bool) -> Self {
         let body = json!({
             "model": crate::MODEL,
@@ -45,7 +46,7 @@
         Self::post(api, "/v1/chat/completions", body.to_string())
     }
 
-    /// A POST of `body`.
+    /// A request with `body` to any path.
     pub fn post(api: SocketAddr, path: &str, body: impl Into<Bytes>) -> Self {
         Self {
             api,
@@ -56,20 +57,20 @@
         }
     }
 
-    /// The same with an `Idempotency-Key`.
+    /// The same request with an `Idempotency-Key`.
     pub fn keyed(mut self, key: &str) -> Self {
         self.idempotency_key = Some(key.to_string());
         self
     }
 
-    /// The same to another router.
+    /// The same request to another router.
     pub fn to(mut self, api: SocketAddr) -> Self {
         self.api = api;
         self
     }
 
-    /// Sends it; the head of the answer and its body, unread.
-    pub async fn begin(
+    /// Sends the request; returns status, headers and the body, which is still to be read.
+    pub async fn send_streaming(
         &self,
         client: &Client,
     ) -> Result<(StatusCode, HeaderMap, Incoming), String> {
@@ -83,37 +84,37 @@
         }
         let request =
             request.body(Client::whole(self.body.clone())).map_err(|error| error.to_string())?;
-        let answer = client.send(request).await.map_err(|error| error.reason)?;
-        let (parts, body) = answer.into_parts();
+        let response = client.send(request).await.map_err(|error| error.reason)?;
+        let (parts, body) = response.into_parts();
         Ok((parts.status, parts.headers, body))
     }
 
-    /// Sends it and reads the whole answer.
-    pub async fn send(&self) -> Result<Reply, String> {
-        let (status, headers, body) = self.begin(&Client::unpooled()).await?;
+    /// Sends the request and reads the complete response.
+    pub async fn send(&self) -> Result<ApiResponse, String> {
+        let (status, headers, body) = self.send_streaming(&Client::unpooled()).await?;
         let body = body.collect().await.map_err(|error| error.to_string())?.to_bytes();
-        Ok(Reply { status, headers, body: String::from_utf8_lossy(&body).into_owned() })
+        Ok(ApiResponse { status, headers, body: String::from_utf8_lossy(&body).into_owned() })
     }
 }
 
-impl Reply {
-    /// The request's id.
-    pub fn request(&self) -> String {
+impl ApiResponse {
+    /// The request id from the headers; empty if there is none.
+    pub fn request_id(&self) -> String {
         let id = self.headers.get("x-request-id").and_then(|id| id.to_str().ok());
         id.unwrap_or_default().to_string()
     }
 
-    /// The body as JSON.
+    /// The body as JSON; `Null` if it is not JSON.
     pub fn json(&self) -> Value {
         serde_json::from_str(&self.body).unwrap_or(Value::Null)
     }
 
-    /// The code of an error answer.
+    /// The error code of an error response; empty if there is none.
     pub fn code(&self) -> String {
         self.json()["error"]["code"].as_str().unwrap_or_default().to_string()
     }
 
-    /// Whether an error answer says that the request ran.
+    /// The outcome that an error response states, such as `not_run`; empty if there is none.
     pub fn outcome(&self) -> String {
         self.json()["error"]["outcome"].as_str().unwrap_or_default().to_string()
     }
--- a/crates/e2e/src/fleet.rs
+++ b/crates/e2e/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Starting, signalling and ending the fleet.
+//! Starts, signals and ends the processes of the fleet.
 
 use crate::programs;
 use rustix::process::{Pid, Signal, kill_process};
@@ -16,43 +16,43 @@
 use std::time::{Duration, Instant};
 use tempfile::TempDir;
 
-/// The tenant's key.
+/// The tenant's API key.
 pub const KEY: &str = "tenant-key";
 /// The model that the engines serve.
 pub const MODEL: &str = "chat";
-/// The tenant's budget.
+/// Limit of the tenant's budget, in tokens.
 pub const LIMIT: u64 = 1_000_000;
 /// The machines with a router.
 pub const ROUTERS: [&str; 4] = ["a-1", "a-2", "b-1", "b-2"];
 /// The machines with a control replica.
 const REPLICAS: [&str; 3] = ["a-1", "a-2", "b-1"];
-/// The operator's key.
+/// The operator's API key.
 const OPERATOR_KEY: &str = "operator-key";
 /// Longest wait for any condition.
-pub const WAIT: Duration = Duration::from_secs(30);
-/// Time between two looks at a condition.
-const LOOK_INTERVAL: Duration = Duration::from_millis(25);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
+/// Interval at which a condition is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Waits until `condition` gives a value; fails naming `what` after [`WAIT`].
+/// Polls `condition` until it returns a value; panics with `what` after [`WAIT_TIMEOUT`].
 pub async fn wait_for<T, F: Future<Output = Option<T>>>(
     what: &str,
     mut condition: impl FnMut() -> F,
 ) -> T {
     let started = Instant::now();
-    let mut looks = tokio::time::interval(LOOK_INTERVAL);
+    let mut poll = tokio::time::interval(POLL_INTERVAL);
     loop {
-        looks.tick().await;
+        poll.tick().await;
         if let Some(value) = condition().await {
             return value;
         }
-        assert!(started.elapsed() < WAIT, "gave up waiting until {what}");
+        assert!(started.elapsed() < WAIT_TIMEOUT, "timed out waiting until {what}");
     }
 }
 
-/// A running fleet. Its processes end with it.
+/// A running fleet. Dropping it ends its processes.
 pub struct Fleet {
     folder: TempDir,
-    /// Second byte of all addresses; each test has its own.
+    /// Second byte of all addresses; differs between tests, which may run in parallel.
     net: u8,
     processes: BTreeMap<String, Child>,
     client: Client,
@@ -64,16 +64,19 @@
         Self::start_with(net, &["--token-us", "1000"]).await
     }
 
-    /// The same with other options for the engines.
+    /// Starts a fleet like [`start`](Self::start), with other options for the engines.
     pub async fn start_with(net: u8, engine_options: &[&str]) -> Self {
-        let folder = tempfile::tempdir().expect("a temporary folder");
+        let folder = tempfile::tempdir().expect("a temporary folder can be created");
         let client = Client::default();
         let mut fleet = Self { folder, net, processes: BTreeMap::new(), client };
         fleet.write_settings();
         fleet.start_standins(engine_options);
         for machine in REPLICAS {
             let status = fleet.control_command(machine).arg("--initialize").status();
-            assert!(status.is_ok_and(|status| status.success()), "initialize {machine}");
+            assert!(
+                status.is_ok_and(|status| status.success()),
+                "failed to initialize the control replica of {machine}"
+            );
             fleet.start_control(machine);
         }
         fleet.write_table().await;
@@ -89,30 +92,33 @@
         self.folder.path()
     }
 
-    /// Where callers reach a router.
+    /// Caller address of a router.
     pub fn api(&self, machine: &str) -> SocketAddr {
         self.address(machine, 8080)
     }
 
-    /// Where operators reach a router.
+    /// Admin address of a router.
     pub fn router_admin(&self, machine: &str) -> SocketAddr {
         self.address(machine, 9400)
     }
 
-    /// Where operators reach the control replicas.
+    /// Admin addresses of the control replicas.
     pub fn control_admins(&self) -> Vec<SocketAddr> {
         REPLICAS.iter().map(|machine| self.address(machine, 9500)).collect()
     }
 
     /// Sends a signal to a process that this fleet has started.
     pub fn signal(&self, name: &str, signal: Signal) {
-        let child = self.processes.get(name).unwrap_or_else(|| panic!("no process {name}"));
-        let pid = Pid::from_raw(child.id() as i32).expect("a process has an id");
-        // A process that has just ended by itself can't be signalled any more.
+        let child = self
+            .processes
+            .get(name)
+            .unwrap_or_else(|| panic!("process {name} was not started or has been ended"));
+        let pid = Pid::from_raw(child.id() as i32).expect("the process has a valid id");
+        // Signalling fails if the process has just ended by itself.
         let _ = kill_process(pid, signal);
     }
 
-    /// Kills a process at once.
+    /// Kills a process at once and waits for its end.
     pub fn kill(&mut self, name: &str) {
         if let Some(mut child) = self.processes.remove(name) {
             let _ = child.kill();
@@ -120,19 +126,22 @@
         }
     }
 
-    /// Waits until a process has ended by itself; returns its exit code.
+    /// Waits until a process has ended by itself and returns its exit code.
     pub async fn exit_code(&mut self, name: &str) -> Option<i32> {
-        let mut child = self.processes.remove(name).unwrap_or_else(|| panic!("no process {name}"));
+        let mut child = self
+            .processes
+            .remove(name)
+            .unwrap_or_else(|| panic!("process {name} was not started or has been ended"));
         let started = Instant::now();
-        let mut looks = tokio::time::interval(LOOK_INTERVAL);
+        let mut poll = tokio::time::interval(POLL_INTERVAL);
         loop {
-            looks.tick().await;
+            poll.tick().await;
             if let Ok(Some(status)) = child.try_wait() {
                 return status.code();
             }
-            if started.elapsed() > WAIT {
+            if started.elapsed() > WAIT_TIMEOUT {
                 let _ = child.kill();
-                panic!("{name} does not end");
+                panic!("process {name} did not end in time");
             }
         }
     }
@@ -167,14 +176,14 @@
         .await;
     }
 
-    /// What a router says of itself.
+    /// Status that a router reports at its admin address.
     pub async fn router_status(&self, machine: &str) -> Option<RouterStatus> {
         self.get(self.router_admin(machine), "/v1/status").await
     }
 
-    /// The machine whose replica leads with a lease.
+    /// The machine of the leader that holds a lease; waits until there is one.
     pub async fn leader(&self) -> String {
-        wait_for("a control replica leads", || async {
+        wait_for("a control replica leads with a lease", || async {
             for machine in REPLICAS {
                 let view: Option<FleetView> =
                     self.get(self.address(machine, 9500), "/v1/status").await;
@@ -187,26 +196,26 @@
         .await
     }
 
-    /// Asks an admin address as an operator.
+    /// Sends a GET request as an operator; `None` unless the response is 200 with valid JSON.
     pub async fn get<T: DeserializeOwned>(&self, address: SocketAddr, path: &str) -> Option<T> {
         let request = hyper::http::Request::get(format!("http://{address}{path}"))
             .header("authorization", format!("Bearer {OPERATOR_KEY}"))
             .body(Bytes::new())
             .ok()?;
-        let answered = self.client.exchange(request, Duration::from_secs(2)).await;
-        let (status, body) = answered.ok()?;
+        let response = self.client.exchange(request, Duration::from_secs(2)).await;
+        let (status, body) = response.ok()?;
         (status == StatusCode::OK).then(|| serde_json::from_slice(&body).ok())?
     }
 
-    /// The status of an admin path.
+    /// HTTP status of an admin path, requested without a key.
     pub async fn probe(&self, address: SocketAddr, path: &str) -> Option<StatusCode> {
         let request = hyper::http::Request::get(format!("http://{address}{path}"));
         let request = request.body(Bytes::new()).ok()?;
-        let answered = self.client.exchange(request, Duration::from_secs(2)).await;
-        answered.ok().map(|(status, _)| status)
+        let response = self.client.exchange(request, Duration::from_secs(2)).await;
+        response.ok().map(|(status, _)| status)
     }
 
-    /// Sends an edit to the leader until its outcome is known.
+    /// Sends an edit to each replica in turn until its outcome is known.
     pub async fn edit(
         &self,
         id: &str,
@@ -218,7 +227,7 @@
         let edit = json!({
             "id": id, "table": table, "name": name, "based_on": based_on, "row": row,
         });
-        let what = format!("edit {id} of {table}/{name} is answered");
+        let what = format!("the outcome of edit {id} of {table}/{name} is known");
         wait_for(&what, || async {
             for address in self.control_admins() {
                 match self.post_edit(address, &edit).await {
@@ -236,14 +245,15 @@
             .header("authorization", format!("Bearer {OPERATOR_KEY}"))
             .body(Bytes::from(edit.to_string()))
             .ok()?;
-        let answered = self.client.exchange(request, Duration::from_secs(3)).await;
-        serde_json::from_slice(&answered.ok()?.1).ok()
+        let response = self.client.exchange(request, Duration::from_secs(3)).await;
+        serde_json::from_slice(&response.ok()?.1).ok()
     }
 
     fn address(&self, machine: &str, port: u16) -> SocketAddr {
-        let (zone, number) = machine.split_once('-').expect("a machine is named zone-number");
+        let (zone, number) =
+            machine.split_once('-').expect("machine names have the form zone-number");
         let zone = if zone == "a" { 1 } else { 2 };
-        format!("127.{}.{zone}.{number}:{port}", self.net).parse().expect("an address")
+        format!("127.{}.{zone}.{number}:{port}", self.net).parse().expect("valid address")
     }
 
     fn settings(&self) -> String {
@@ -265,17 +275,17 @@
             .create(true)
             .append(true)
             .open(self.folder().join(format!("{name}.log")))
-            .expect("a log file");
+            .expect("the log file can be opened");
         let child = command
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(log)
             .spawn()
-            .unwrap_or_else(|error| panic!("start {name}: {error}"));
+            .unwrap_or_else(|error| panic!("failed to start {name}: {error}"));
         self.processes.insert(name.to_string(), child);
     }
 
-    /// A replica's data folder.
+    /// Data folder of a control replica.
     pub fn data_folder(&self, machine: &str) -> std::path::PathBuf {
         self.folder().join("data").join(machine)
     }
@@ -312,7 +322,8 @@
         });
         let operators = json!({ "operator": KeyHash::of(OPERATOR_KEY) });
         let write = |name: &str, value: Value| {
-            std::fs::write(self.folder().join(name), value.to_string()).expect("written");
+            std::fs::write(self.folder().join(name), value.to_string())
+                .expect("the file can be written");
         };
         write("fleet.jsonc", settings);
         write("operators.jsonc", operators);
@@ -322,8 +333,8 @@
         SocketAddr::from(([127, self.net, 0, 1], 8500))
     }
 
-    /// Where a stand-in of a zone listens.
-    pub fn back_end(&self, zone: &str, plain: bool) -> SocketAddr {
+    /// Address of the stand-in engine or plain service of a zone.
+    pub fn back_end_address(&self, zone: &str, plain: bool) -> SocketAddr {
         let zone = if zone == "a" { 1 } else { 2 };
         SocketAddr::from(([127, self.net, 10 + u8::from(plain), zone], 8000))
     }
@@ -338,14 +349,14 @@
                 self.folder().join(format!("journal-{name}.jsonl")).display().to_string()
             };
             let mut engine = self.program("stackpost-standin-engine");
-            let address = self.back_end(zone, false).to_string();
+            let address = self.back_end_address(zone, false).to_string();
             let log = journal(&format!("engine-{zone}"));
             engine.args(["--address", &address, "--log", &log]).args(engine_options);
             if zone == "a" {
                 engine.arg("--checks-fence");
             }
             let mut plain = self.program("stackpost-standin-service");
-            let address = self.back_end(zone, true).to_string();
+            let address = self.back_end_address(zone, true).to_string();
             let log = journal(&format!("app-{zone}"));
             plain.args(["--address", &address, "--log", &log]);
             self.spawn(&format!("engine-{zone}"), engine);
@@ -357,7 +368,10 @@
         for (table, name, row) in self.rows() {
             let id = format!("first-{table}-{name}");
             let view = self.edit(&id, table, &name, 0, row).await;
-            assert!(matches!(view, EditView::Accepted { .. }), "{table}/{name}: {view:?}");
+            assert!(
+                matches!(view, EditView::Accepted { .. }),
+                "initial row {table}/{name} was not accepted: {view:?}"
+            );
         }
     }
 
@@ -386,7 +400,7 @@
             for zone in ["a", "b"] {
                 let row = json!({
                     "service": service, "zone": format!("zone-{zone}"),
-                    "address": self.back_end(zone, plain), "weight": 100, "state": "active",
+                    "address": self.back_end_address(zone, plain), "weight": 100, "state": "active",
                     "checks_fence": zone == "a", "loaded": [], "role": "both",
                 });
                 rows.push(("back_end", format!("{service}-{zone}"), row));
--- a/crates/e2e/src/books.rs
+++ b/crates/e2e/src/records.rs
@@ -1,16 +1,16 @@
-//! What back ends and control replicas have written down.
+//! Journals of the back ends and bills of the control replicas.
 
 use crate::fleet::Fleet;
 use serde::Deserialize;
 use stackpost_control::views::BillView;
 use std::collections::BTreeMap;
 
-/// A line of a stand-in's journal.
+/// A line of the journal of a stand-in back end.
 #[derive(Clone, Debug, Deserialize)]
-pub struct JournalNote {
-    /// What happened.
+pub struct JournalEntry {
+    /// Kind of the event.
     pub event: String,
-    /// The request.
+    /// Id of the request.
     pub subject: String,
     /// Tokens of the prompt.
     pub prompt_tokens: u64,
@@ -18,37 +18,39 @@
     pub completion_tokens: u64,
 }
 
-/// A bill, as the replicas that answer have it.
+/// A bill that a control replica has stored.
 #[derive(Clone, Debug)]
 pub struct StoredBill {
-    /// The request.
+    /// Id of the request.
     pub request: String,
     /// The budget.
     pub budget: String,
-    /// The amount.
+    /// The billed tokens.
     pub tokens: u64,
 }
 
 impl Fleet {
-    /// Every line that back ends have written.
-    pub fn journal(&self) -> Vec<JournalNote> {
-        let mut notes = Vec::new();
-        for entry in std::fs::read_dir(self.folder()).expect("the folder is there").flatten() {
+    /// Every journal line of all back ends.
+    pub fn journal(&self) -> Vec<JournalEntry> {
+        let mut entries = Vec::new();
+        for entry in
+            std::fs::read_dir(self.folder()).expect("the fleet's folder can be read").flatten()
+        {
             let name = entry.file_name().to_string_lossy().into_owned();
             if name.starts_with("journal-") {
                 let text = std::fs::read_to_string(entry.path()).unwrap_or_default();
-                notes.extend(text.lines().filter_map(|line| serde_json::from_str(line).ok()));
+                entries.extend(text.lines().filter_map(|line| serde_json::from_str(line).ok()));
             }
         }
-        notes
+        entries
     }
 
-    /// Lines about one request.
-    pub fn journal_of(&self, request: &str) -> Vec<JournalNote> {
-        self.journal().into_iter().filter(|note| note.subject == request).collect()
+    /// Journal lines of one request.
+    pub fn journal_of(&self, request: &str) -> Vec<JournalEntry> {
+        self.journal().into_iter().filter(|entry| entry.subject == request).collect()
     }
 
-    /// Every bill that some live replica has stored, each once.
+    /// Every bill that some running replica has stored, without duplicates.
     pub async fn bills(&self) -> Vec<StoredBill> {
         let mut unique = BTreeMap::new();
         for address in self.control_admins() {
--- a/crates/e2e/tests/faults.rs
+++ b/crates/e2e/tests/faults.rs
@@ -1,29 +1,30 @@
-//! Faults of real processes: killed, stopped, frozen, without their data folder.
+//! Faults of real processes: killed, stopped, frozen, or restarted without their data folder.
 
 use http_body_util::BodyExt;
 use rustix::process::Signal;
 use serde_json::json;
 use stackpost_control::views::{EditView, FleetView};
-use stackpost_e2e::{Ask, Fleet, LIMIT, ROUTERS, wait_for};
+use stackpost_e2e::{ApiRequest, Fleet, LIMIT, ROUTERS, wait_for};
 use stackpost_http::{Client, StatusCode};
 use std::collections::BTreeMap;
 
 #[tokio::test]
-async fn a_retry_after_its_router_died_gets_the_whole_answer_and_one_bill() {
+async fn a_retry_after_a_router_crash_completes_and_is_billed_once() {
     let mut fleet = Fleet::start_with(111, &["--token-us", "5000"]).await;
-    let ask = Ask::chat(fleet.api("a-1"), "ruling", 200, true).keyed("ruling-1");
-    let (_, headers, mut body) = ask.begin(&Client::unpooled()).await.expect("an answer");
-    let first = headers["x-request-id"].to_str().expect("text").to_string();
-    body.frame().await.expect("a piece").expect("data");
+    let api_request = ApiRequest::chat(fleet.api("a-1"), "ruling", 200, true).keyed("ruling-1");
+    let (_, headers, mut body) =
+        api_request.send_streaming(&Client::unpooled()).await.expect("a response");
+    let first_request_id = headers["x-request-id"].to_str().expect("a text header").to_string();
+    body.frame().await.expect("a frame").expect("a readable frame");
     fleet.kill("router-a-1");
-    let reply = wait_for("another router answers", || async {
-        let reply = ask.clone().to(fleet.api("a-2")).send().await.ok()?;
-        (reply.status == StatusCode::OK).then_some(reply)
+    let response = wait_for("another router responds", || async {
+        let response = api_request.clone().to(fleet.api("a-2")).send().await.ok()?;
+        (response.status == StatusCode::OK).then_some(response)
     })
     .await;
-    assert!(reply.body.contains("[DONE]"), "{}", reply.body);
-    assert!(fleet.bills_of(&first).await.is_empty());
-    let bills = wait_for("it is billed", || async {
+    assert!(response.body.contains("[DONE]"), "{}", response.body);
+    assert!(fleet.bills_of(&first_request_id).await.is_empty());
+    let bills = wait_for("the request is billed", || async {
         let bills = fleet.bills().await;
         (!bills.is_empty()).then_some(bills)
     })
@@ -32,48 +33,49 @@
 }
 
 #[tokio::test]
-async fn a_planned_stop_finishes_what_is_in_flight() {
+async fn a_planned_stop_completes_requests_in_flight() {
     let mut fleet = Fleet::start_with(112, &["--token-us", "5000"]).await;
     let client = Client::unpooled();
-    let ask = Ask::chat(fleet.api("b-1"), "long", 300, true);
-    let (_, _, mut body) = ask.begin(&client).await.expect("an answer");
-    body.frame().await.expect("a piece").expect("data");
+    let api_request = ApiRequest::chat(fleet.api("b-1"), "long", 300, true);
+    let (_, _, mut body) = api_request.send_streaming(&client).await.expect("a response");
+    body.frame().await.expect("a frame").expect("a readable frame");
     fleet.signal("router-b-1", Signal::TERM);
-    wait_for("it is not ready any more", || async {
+    wait_for("the router is no longer ready", || async {
         let probe = fleet.probe(fleet.router_admin("b-1"), "/readyz").await?;
         (probe == StatusCode::SERVICE_UNAVAILABLE).then_some(())
     })
     .await;
-    let refused = Ask::chat(fleet.api("b-1"), "late", 5, false).send().await.expect("an answer");
+    let refused =
+        ApiRequest::chat(fleet.api("b-1"), "late", 5, false).send().await.expect("a response");
     assert_eq!((refused.code().as_str(), refused.outcome().as_str()), ("draining", "not_run"));
-    let rest = body.collect().await.expect("the whole rest").to_bytes();
+    let rest = body.collect().await.expect("the rest of the body").to_bytes();
     assert!(String::from_utf8_lossy(&rest).contains("[DONE]"));
     assert_eq!(fleet.exit_code("router-b-1").await, Some(0));
 }
 
 #[tokio::test]
-async fn control_goes_on_without_its_leader_and_takes_a_lost_folder_back() {
+async fn control_survives_leader_loss_and_restores_a_lost_folder() {
     let mut fleet = Fleet::start(113).await;
     let leader = fleet.leader().await;
     fleet.kill(&format!("control-{leader}"));
     let row = json!({ "limit": LIMIT + 1 });
     let view = fleet.edit("after-kill", "budget", "second", 0, row.clone()).await;
     let EditView::Accepted { version, .. } = view else { panic!("{view:?}") };
-    // The same edit again: the first outcome, although the row now has another version.
-    let again = fleet.edit("after-kill", "budget", "second", 0, row).await;
-    assert!(matches!(again, EditView::Accepted { version: same, .. } if same == version));
-    let raced = fleet.edit("raced", "budget", "second", 0, json!({ "limit": 5 })).await;
-    assert!(matches!(raced, EditView::Conflict { .. }), "{raced:?}");
+    // A resent edit gets its first outcome, although the row now has another version.
+    let resent = fleet.edit("after-kill", "budget", "second", 0, row).await;
+    assert!(matches!(resent, EditView::Accepted { version: same, .. } if same == version));
+    let conflicting = fleet.edit("raced", "budget", "second", 0, json!({ "limit": 5 })).await;
+    assert!(matches!(conflicting, EditView::Conflict { .. }), "{conflicting:?}");
     for machine in ROUTERS {
         wait_for("the edit is in force", || async {
             (fleet.router_status(machine).await?.version >= version).then_some(())
         })
         .await;
     }
-    std::fs::remove_dir_all(fleet.data_folder(&leader)).expect("removed");
+    std::fs::remove_dir_all(fleet.data_folder(&leader)).expect("the data folder can be removed");
     fleet.start_control(&leader);
     let admins = fleet.control_admins();
-    wait_for("the replica votes again with the whole table", || async {
+    wait_for("the replica is a voter again with the complete table", || async {
         let mut voters = 0;
         for address in &admins {
             let view: Option<FleetView> = fleet.get(*address, "/v1/status").await;
@@ -87,7 +89,7 @@
 }
 
 #[tokio::test]
-async fn a_frozen_leader_is_replaced_and_follows_after_it_thaws() {
+async fn a_frozen_leader_is_replaced_and_catches_up_after_thawing() {
     let fleet = Fleet::start(114).await;
     let leader = fleet.leader().await;
     fleet.signal(&format!("control-{leader}"), Signal::STOP);
@@ -103,46 +105,50 @@
     }
 }
 
-/// Every caller's outcome under load and a killed router, against journals and bills.
+/// Checks the outcome of every caller against journals and bills, under load and with a killed
+/// router.
 #[tokio::test]
-async fn outcomes_journals_and_bills_agree_after_a_router_was_killed() {
+async fn outcomes_journals_and_bills_agree_after_a_router_crash() {
     let mut fleet = Fleet::start(115).await;
-    let mut asks = Vec::new();
+    let mut api_requests = Vec::new();
     for number in 0..120 {
         let api = fleet.api(ROUTERS[number % ROUTERS.len()]);
-        let ask = if number % 3 == 0 {
-            Ask::post(api, "/tickets?delay_ms=30", format!("ticket {number}"))
+        let api_request = if number % 3 == 0 {
+            ApiRequest::post(api, "/tickets?delay_ms=30", format!("ticket {number}"))
         } else {
-            Ask::chat(api, &format!("caller {number}"), 40, number % 2 == 0)
+            ApiRequest::chat(api, &format!("caller {number}"), 40, number % 2 == 0)
         };
-        asks.push(tokio::spawn(async move { ask.send().await }));
+        api_requests.push(tokio::spawn(async move { api_request.send().await }));
     }
-    wait_for("work has begun", || async { (fleet.journal().len() > 20).then_some(()) }).await;
+    wait_for("the back ends are executing requests", || async {
+        (fleet.journal().len() > 20).then_some(())
+    })
+    .await;
     fleet.kill("router-a-2");
-    let mut replies = Vec::new();
-    for ask in asks {
-        replies.push(ask.await.expect("the task ends"));
+    let mut responses = Vec::new();
+    for api_request in api_requests {
+        responses.push(api_request.await.expect("the task completes"));
     }
-    let answered: Vec<_> = replies
+    let response: Vec<_> = responses
         .iter()
         .flatten()
-        .filter(|reply| reply.status.is_success() && is_whole(&reply.body))
+        .filter(|response| response.status.is_success() && is_complete(&response.body))
         .collect();
-    assert!(answered.len() >= 80, "{} answered", answered.len());
-    let bills = wait_for("every answer is billed", || async {
+    assert!(response.len() >= 80, "only {} requests answered", response.len());
+    let bills = wait_for("every response is billed", || async {
         let mut by_request: BTreeMap<String, usize> = BTreeMap::new();
         for bill in fleet.bills().await {
             *by_request.entry(bill.request).or_default() += 1;
         }
-        let all = answered.iter().all(|reply| by_request.contains_key(&reply.request()));
+        let all = response.iter().all(|response| by_request.contains_key(&response.request_id()));
         all.then_some(by_request)
     })
     .await;
     assert!(bills.values().all(|count| *count == 1), "{bills:?}");
-    let refused = replies.iter().flatten().filter(|reply| reply.outcome() == "not_run");
-    for reply in refused {
-        assert!(fleet.journal_of(&reply.request()).is_empty(), "{}", reply.body);
-        assert!(!bills.contains_key(&reply.request()));
+    let refused = responses.iter().flatten().filter(|response| response.outcome() == "not_run");
+    for response in refused {
+        assert!(fleet.journal_of(&response.request_id()).is_empty(), "{}", response.body);
+        assert!(!bills.contains_key(&response.request_id()));
     }
     for (request, count) in executions(&fleet) {
         assert_eq!(count, 1, "{request} was executed {count} times");
@@ -151,15 +157,15 @@
     assert!(total <= LIMIT);
 }
 
-fn is_whole(body: &str) -> bool {
+fn is_complete(body: &str) -> bool {
     !body.starts_with("data:") || body.contains("[DONE]")
 }
 
-/// How often each plain call was executed.
+/// Number of executions of each plain call.
 fn executions(fleet: &Fleet) -> BTreeMap<String, usize> {
     let mut counts = BTreeMap::new();
-    for note in fleet.journal().into_iter().filter(|note| note.event == "executed") {
-        *counts.entry(note.subject).or_default() += 1;
+    for entry in fleet.journal().into_iter().filter(|entry| entry.event == "executed") {
+        *counts.entry(entry.subject).or_default() += 1;
     }
     counts
 }
--- a/crates/sim/src/caller_actions.rs
+++ b/crates/sim/src/caller_actions.rs
@@ -1,4 +1,4 @@
-//! What callers do.
+//! Actions of callers: sending attempts, receiving responses, retrying.
 
 use crate::callers::*;
 use crate::fleet::{self, FleetShape};
@@ -10,9 +10,9 @@
 use stackpost_router_core::*;
 use stackpost_types::*;
 
-/// Time between a caller and a router.
-pub(crate) const CALLER_DELAY: u64 = 3;
-/// Upper bound of every prompt, as routers count it.
+/// One-way delay between a caller and a router.
+pub(crate) const CALLER_DELAY_MS: u64 = 3;
+/// Upper bound on the tokens of every prompt, as computed by the routers.
 const PROMPT_BOUND: u64 = 40;
 
 impl World {
@@ -28,29 +28,29 @@
         self.schedule(pause, Action::Arrival);
     }
 
-    /// A caller with a plan appears and sends its request.
+    /// Adds a caller, which sends its request at once.
     pub fn add_caller(&mut self, plan: RequestPlan) -> CallerId {
         let id = CallerId(self.next_caller);
         self.next_caller += 1;
         let record = CallerRecord { id, plan, attempts: Vec::new(), done: false };
         self.callers.records.insert(id, record);
-        self.schedule(0, Action::CallerTries(id));
+        self.schedule(0, Action::SendCallerAttempt(id));
         id
     }
 
-    pub(crate) fn caller_tries(&mut self, id: CallerId) {
+    pub(crate) fn send_caller_attempt(&mut self, id: CallerId) {
         let Some(record) = self.callers.records.get(&id) else { return };
         let plan = record.plan.clone();
         let Some(node) = self.pick_router(&plan, record.attempts.len()) else {
-            // The balancer finds no router that is ready: a while later one may be.
-            self.schedule(200, Action::CallerTries(id));
+            // No router is ready: the load balancer looks again after 200 ms.
+            self.schedule(200, Action::SendCallerAttempt(id));
             return;
         };
-        let first = record_is_new(&self.callers, id);
+        let first = has_no_attempts(&self.callers, id);
         self.next_request += 1;
         self.next_call += 1;
         let (request, call) = (RequestId(self.next_request), CallId(self.next_call));
-        let sent = Box::new(call_for(&plan, id, request, call));
+        let sent = Box::new(build_call(&plan, id, request, call));
         let attempt = CallerAttempt { request, node: node.clone(), call, at: self.now, end: None };
         if let Some(record) = self.callers.records.get_mut(&id) {
             record.attempts.push(attempt);
@@ -60,19 +60,20 @@
         self.history.note(
             self.now,
             format!("caller {}", id.0),
-            format!("asks {node}: {request}, call {}", call.0),
+            format!("sends to {node}: {request}, call {}", call.0),
         );
-        self.schedule(CALLER_DELAY, Action::Call { node: node.clone(), call: sent });
-        if let Some(span) = plan.resends_after.filter(|_| first) {
-            self.schedule(span, Action::CallerTries(id));
+        self.schedule(CALLER_DELAY_MS, Action::Call { node: node.clone(), call: sent });
+        if let Some(duration) = plan.resends_after.filter(|_| first) {
+            self.schedule(duration, Action::SendCallerAttempt(id));
         }
-        if let Some(span) = plan.leaves_after {
-            let gone = Action::CallerGone { node, call };
-            self.schedule(CALLER_DELAY + span, gone);
+        if let Some(duration) = plan.leaves_after {
+            let disconnect = Action::CallerGone { node, call };
+            self.schedule(CALLER_DELAY_MS + duration, disconnect);
         }
     }
 
-    /// A router that is ready: of the planned zone if possible at the first attempt, any later.
+    /// Picks a ready router at random: one of the planned zone for the first attempt, one of any
+    /// zone for later attempts. A frozen router counts as ready.
     pub(crate) fn pick_router(&mut self, plan: &RequestPlan, attempts: usize) -> Option<NodeId> {
         let zone = ZoneName::new(self.shape.zones[plan.zone]);
         let ready = |process: &RouterProcess| {
@@ -91,8 +92,8 @@
         candidates.into_iter().nth(chosen)
     }
 
-    pub(crate) fn call_arrives(&mut self, node: &NodeId, call: Call) {
-        if self.sender_is_gone(&Peer::Router(node.clone())) {
+    pub(crate) fn receive_call(&mut self, node: &NodeId, call: Call) {
+        if self.sender_has_ended(&Peer::Router(node.clone())) {
             self.end_attempt(&(node.clone(), call.id), AttemptEnd::Lost { planned: false });
             return;
         }
@@ -114,46 +115,49 @@
         let Some(record) = self.callers.records.get_mut(&id) else { return };
         let attempt = record.attempts.iter_mut().find(|attempt| attempt.call == key.1);
         let Some(attempt) = attempt else { return };
-        // A caller that has gone hears nothing of the end.
-        let left =
-            record.plan.leaves_after.is_some_and(|span| attempt.at + CALLER_DELAY + span <= now);
-        let end = if left { AttemptEnd::Left } else { end };
+        // A caller that has disconnected receives no response.
+        let disconnected = record
+            .plan
+            .leaves_after
+            .is_some_and(|duration| attempt.at + CALLER_DELAY_MS + duration <= now);
+        let end = if disconnected { AttemptEnd::Disconnected } else { end };
         attempt.end = Some((now, end.clone()));
-        let again = self.wants_another_try(id, &end);
+        let retry_delay = self.retry_delay(id, &end);
         let Some(record) = self.callers.records.get_mut(&id) else { return };
-        match again {
-            Some(delay) => self.schedule(delay, Action::CallerTries(id)),
+        match retry_delay {
+            Some(delay) => self.schedule(delay, Action::SendCallerAttempt(id)),
             None => record.done = true,
         }
     }
 
-    /// Whether and when a caller tries again. A request without a key that may have run and must
-    /// not run twice is never sent again.
-    pub(crate) fn wants_another_try(&mut self, id: CallerId, end: &AttemptEnd) -> Option<u64> {
+    /// Returns the delay after which a caller retries, if it does. A non-idempotent request without
+    /// an idempotency key is not retried once it may have run.
+    pub(crate) fn retry_delay(&mut self, id: CallerId, end: &AttemptEnd) -> Option<u64> {
         let record = &self.callers.records[&id];
         if record.attempts.len() as u32 > record.plan.retries {
             return None;
         }
-        let safe = record.plan.keyed || record.plan.repeatable;
+        let may_retry = record.plan.keyed || record.plan.repeatable;
         match end {
-            AttemptEnd::Answered { .. } | AttemptEnd::Left => None,
-            AttemptEnd::Lost { .. } => safe.then(|| self.rng.random_range(20..600)),
+            AttemptEnd::Answered { .. } | AttemptEnd::Disconnected => None,
+            AttemptEnd::Lost { .. } => may_retry.then(|| self.rng.random_range(20..600)),
             AttemptEnd::Refused(refusal) => {
                 let pause = refusal.retry_after?.0;
-                let may = refusal.outcome == ExecutionOutcome::NotRun || safe;
-                may.then(|| pause + self.rng.random_range(0..100))
+                let retries = refusal.outcome == ExecutionOutcome::NotRun || may_retry;
+                retries.then(|| pause + self.rng.random_range(0..100))
             }
         }
     }
 }
 
-fn record_is_new(callers: &Callers, id: CallerId) -> bool {
+fn has_no_attempts(callers: &Callers, id: CallerId) -> bool {
     callers.records.get(&id).is_some_and(|record| record.attempts.is_empty())
 }
 
-fn call_for(plan: &RequestPlan, id: CallerId, request: RequestId, call: CallId) -> Call {
+fn build_call(plan: &RequestPlan, id: CallerId, request: RequestId, call: CallId) -> Call {
     let target = if plan.plain {
-        let path = if plan.repeatable { fleet::REPEATABLE_PATH } else { fleet::ONCE_PATH };
+        let path =
+            if plan.repeatable { fleet::REPEATABLE_PATH } else { fleet::NON_REPEATABLE_PATH };
         Target::Plain { method: "POST".into(), path: path.into() }
     } else {
         Target::Chat {
--- a/crates/sim/src/callers.rs
+++ b/crates/sim/src/callers.rs
@@ -1,79 +1,79 @@
-//! Callers: what they plan, what they sent, what they got.
+//! Callers: their plans, the attempts they sent and the responses they received.
 
 use stackpost_router_core::{CallId, Refusal};
 use stackpost_types::{NodeId, RequestId};
 use std::collections::BTreeMap;
 
-/// A caller with one plan.
+/// Identifies a caller, which has exactly one plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallerId(pub u64);
 
-/// What a caller wants.
+/// The request of a caller and how the caller behaves.
 #[derive(Clone, Debug)]
 pub struct RequestPlan {
-    /// Which tenant it belongs to.
+    /// Index of the tenant that the caller belongs to.
     pub tenant: usize,
-    /// The zone whose routers it asks first.
+    /// Index of the zone to whose routers the first attempt is sent.
     pub zone: usize,
-    /// Whether it wants a plain call instead of a chat answer.
+    /// Whether it calls a plain service instead of sending a chat request.
     pub plain: bool,
-    /// Whether the request may run more than once.
+    /// Whether the request is idempotent and may run more than once.
     pub repeatable: bool,
     /// Whether it sends an idempotency key.
     pub keyed: bool,
     /// Tokens that the engine will generate.
     pub tokens: u64,
-    /// Most tokens that the caller allows.
+    /// The request's limit on generated tokens.
     pub max_tokens: u64,
-    /// How long it waits before it goes away; `None` for ever.
+    /// Time after which the caller disconnects; `None`: it waits without a limit.
     pub leaves_after: Option<u64>,
-    /// Time after which it sends the request a second time under the same key, without having
-    /// heard of the first.
+    /// Time after which it sends the request a second time under the same key, without waiting for
+    /// a response to the first attempt.
     pub resends_after: Option<u64>,
-    /// How often it tries again after an outcome that is not final.
+    /// Maximum number of retries after an outcome that is not final.
     pub retries: u32,
 }
 
 /// How one attempt of a caller ended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AttemptEnd {
-    /// The whole answer came; `content` names whose answer it was.
+    /// The complete response was received.
     Answered {
-        /// The caller that the content was made for.
+        /// The caller for which the content was generated.
         content: CallerId,
     },
-    /// It was refused.
+    /// The router refused it.
     Refused(Refusal),
     /// The connection broke.
     Lost {
-        /// Whether the router had been asked to stop and went by itself.
+        /// Whether the router ended in a planned stop.
         planned: bool,
     },
-    /// The caller went away.
-    Left,
+    /// The caller disconnected.
+    Disconnected,
 }
 
 /// One attempt of a caller.
 #[derive(Clone, Debug)]
 pub struct CallerAttempt {
-    /// The request's name.
+    /// Id of the request.
     pub request: RequestId,
-    /// The router asked.
+    /// The router to which it was sent.
     pub node: NodeId,
-    /// The connection.
+    /// Id of the call at the router.
     pub call: CallId,
     /// When it was sent.
     pub at: u64,
-    /// How it ended and when, if it has.
+    /// When and how it ended; `None` while it is in progress.
     pub end: Option<(u64, AttemptEnd)>,
 }
 
-/// A caller and all that happened to it.
+/// A caller with its plan and its attempts.
 #[derive(Clone, Debug)]
 pub struct CallerRecord {
     /// The caller.
     pub id: CallerId,
-    /// What it wants.
+    /// Its plan.
     pub plan: RequestPlan,
     /// Its attempts, in order.
     pub attempts: Vec<CallerAttempt>,
@@ -82,7 +82,7 @@
 }
 
 impl CallerRecord {
-    /// Whether it has got its whole answer.
+    /// Whether it has received a complete response.
     pub fn is_answered(&self) -> bool {
         self.ends().any(|end| matches!(end, AttemptEnd::Answered { .. }))
     }
@@ -97,7 +97,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Callers {
     pub records: BTreeMap<CallerId, CallerRecord>,
-    /// Connections that are open.
+    /// Callers of the calls in progress.
     pub open: BTreeMap<(NodeId, CallId), CallerId>,
     pub by_request: BTreeMap<RequestId, CallerId>,
 }
--- a/crates/sim/src/checks.rs
+++ b/crates/sim/src/checks.rs
@@ -1,5 +1,5 @@
-//! What must always hold, judged from the histories of callers, engines, bills and control, never
-//! from a counter of the system itself.
+//! Invariants, checked against the histories of callers, engines, bills and control replicas. The
+//! checks read no counter that the system itself keeps, since a fault could falsify it too.
 
 use crate::callers::{AttemptEnd, CallerRecord};
 use crate::engines::Execution;
@@ -11,29 +11,29 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// Time after which a leaving back end must get no new work, in milliseconds.
-const LEAVING_GRACE: u64 = 4_000;
+/// Time after which a leaving back end must receive no new requests.
+const LEAVING_GRACE_MS: u64 = 4_000;
 
-/// One of the eight promises of the brief.
+/// One of the eight invariants that the system guarantees.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[allow(missing_docs)]
 pub enum Promise {
     NoOverspend,
     BilledOnce,
-    OwnWholeAnswer,
-    NotRunMeansNotRun,
+    OwnCompleteAnswer,
+    NotRunNeverExecuted,
     AtMostOnce,
-    LeavingGetsNothingNew,
-    PlannedStopCutsNothing,
+    NoNewWorkWhenLeaving,
+    PlannedStopInterruptsNothing,
     ConfigurationInForce,
 }
 
-/// A promise that was broken, and how.
+/// A violated invariant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// The promise.
+    /// The invariant.
     pub promise: Promise,
-    /// How.
+    /// What was found.
     pub what: String,
 }
 
@@ -43,15 +43,15 @@
     }
 }
 
-/// The bills of a fleet and what is known to be lost of them.
+/// The bills of a fleet, and the accounts known to be lost.
 struct Bills {
     by_request: BTreeMap<RequestId, Vec<Bill>>,
     lost_accounts: BTreeSet<AccountId>,
 }
 
-/// Judges a fleet that has come to rest after its faults were healed.
+/// Checks all invariants on a fleet that has settled after its faults were healed.
 pub fn check(world: &World) -> Vec<Violation> {
-    let bills = gather_bills(world);
+    let bills = collect_bills(world);
     let mut found = Vec::new();
     let mut add = |promise, what: String| found.push(Violation { promise, what });
     check_spend(world, &bills, &mut add);
@@ -63,14 +63,14 @@
     found
 }
 
-fn gather_bills(world: &World) -> Bills {
+fn collect_bills(world: &World) -> Bills {
     let mut unique: BTreeMap<(AccountId, u64), Bill> = BTreeMap::new();
     for (_, replica) in world.live_replicas() {
         for (account, bill) in replica.bills().read_all().unwrap_or_default() {
             unique.insert((account, bill.sequence), bill);
         }
     }
-    // Bills that still wait for a majority of the archive are bills too.
+    // Bills that a majority of the replicas has not yet stored count too.
     for (_, router) in world.live_routers() {
         for account in router.accounts() {
             for (sequence, bill) in account.state().bills() {
@@ -92,7 +92,7 @@
     Bills { by_request, lost_accounts }
 }
 
-/// The largest limit that each budget ever had.
+/// The largest limit that any edit set for each budget.
 fn largest_limits(world: &World) -> BTreeMap<BudgetName, Tokens> {
     let mut limits: BTreeMap<BudgetName, Tokens> = BTreeMap::new();
     for record in &world.edits {
@@ -162,12 +162,12 @@
     check_executions(world, record, add);
     for attempt in &record.attempts {
         if let Some((at, AttemptEnd::Lost { planned: true })) = &attempt.end {
-            let what = format!("{} cut {} off at {at}", attempt.node, attempt.request);
-            add(Promise::PlannedStopCutsNothing, what);
+            let what = format!("{} interrupted {} at {at}", attempt.node, attempt.request);
+            add(Promise::PlannedStopInterruptsNothing, what);
         }
         if attempt.end.is_none() {
-            let what = format!("{} of {} never ended", attempt.request, attempt.node);
-            add(Promise::OwnWholeAnswer, what);
+            let what = format!("{} at {} never ended", attempt.request, attempt.node);
+            add(Promise::OwnCompleteAnswer, what);
         }
     }
 }
@@ -177,15 +177,18 @@
     for attempt in &record.attempts {
         let count = of_attempt(&attempt.request);
         if count > 1 {
-            add(Promise::BilledOnce, format!("{}: {count} bills", attempt.request));
+            add(Promise::BilledOnce, format!("{}: billed {count} times", attempt.request));
         }
         let not_run = matches!(&attempt.end,
             Some((_, AttemptEnd::Refused(refusal))) if refusal.outcome == ExecutionOutcome::NotRun);
         if not_run && count > 0 {
-            add(Promise::BilledOnce, format!("{}: not run, yet billed", attempt.request));
+            add(
+                Promise::BilledOnce,
+                format!("{}: refused as not run, but billed", attempt.request),
+            );
         }
     }
-    // All attempts under one key are one request; without a key each attempt is its own.
+    // All attempts under one key count as one request; without a key each attempt is a request.
     let answered: Vec<_> = record
         .attempts
         .iter()
@@ -202,7 +205,7 @@
     for attempt in answered {
         let billed = if record.plan.keyed { total } else { of_attempt(&attempt.request) };
         if billed == 0 && !lost {
-            add(Promise::BilledOnce, format!("{}: answered, not billed", attempt.request));
+            add(Promise::BilledOnce, format!("{}: answered, but not billed", attempt.request));
         }
     }
 }
@@ -212,8 +215,9 @@
         if let AttemptEnd::Answered { content } = end
             && *content != record.id
         {
-            let what = format!("caller {} got the answer of {}", record.id.0, content.0);
-            add(Promise::OwnWholeAnswer, what);
+            let what =
+                format!("caller {} received the response for caller {}", record.id.0, content.0);
+            add(Promise::OwnCompleteAnswer, what);
         }
     }
 }
@@ -224,9 +228,9 @@
         if refusal.outcome != ExecutionOutcome::NotRun {
             continue;
         }
-        // Under a key, attempts that ended before are the same request, and so are those still
-        // under way, as far as they have run by now. What a parallel attempt does later, its own
-        // answer tells.
+        // Under one key, earlier attempts are the same request if they have ended, or if they are
+        // still in progress and had run by the time of the refusal. What a parallel attempt runs
+        // later is covered by its own response.
         let same = |run: &Execution| {
             record.attempts.iter().filter(|other| other.request == run.request).any(|other| {
                 let over = other.end.as_ref().is_some_and(|(at, _)| at <= ended_at);
@@ -240,7 +244,7 @@
                 "{} was refused at {ended_at} as not run ({}), but {} ran at {} on {}",
                 attempt.request, refusal.reason, run.request, run.at, run.back_end
             );
-            add(Promise::NotRunMeansNotRun, what);
+            add(Promise::NotRunNeverExecuted, what);
         }
     }
 }
@@ -254,7 +258,8 @@
     let runs: Vec<_> =
         world.engines.executions.iter().filter(|run| requests.contains(&run.request)).collect();
     if runs.len() > 1 {
-        let what = format!("caller {}: {runs:?}", record.id.0);
+        let what =
+            format!("caller {}: non-idempotent request ran more than once: {runs:?}", record.id.0);
         add(Promise::AtMostOnce, what);
     }
 }
@@ -263,39 +268,42 @@
     for run in &world.engines.executions {
         let back_end = &world.engines.back_ends[&run.back_end];
         if let Some(since) = back_end.leaving_since
-            && run.at > since + LEAVING_GRACE
+            && run.at > since + LEAVING_GRACE_MS
         {
             let what = format!(
-                "{} got {} at {}, leaving since {since}",
+                "{} received {} at {}, leaving since {since}",
                 run.back_end, run.request, run.at
             );
-            add(Promise::LeavingGetsNothingNew, what);
+            add(Promise::NoNewWorkWhenLeaving, what);
         }
     }
 }
 
 fn check_configuration(world: &World, add: &mut impl FnMut(Promise, String)) {
-    for wrong in &world.wrongs {
-        add(Promise::ConfigurationInForce, wrong.clone());
+    for violation in &world.immediate_violations {
+        add(Promise::ConfigurationInForce, violation.clone());
     }
     let newest = world.edits.iter().filter_map(|edit| edit.accepted()).map(|(_, v)| v).max();
     let newest = newest.unwrap_or_default();
     for (machine, router) in world.live_routers() {
         if router.version() < newest {
-            let what = format!("{machine} has {}, accepted {newest}", router.version());
+            let what = format!(
+                "{machine} has version {}, the newest accepted version is {newest}",
+                router.version()
+            );
             add(Promise::ConfigurationInForce, what);
         }
     }
     for edit in &world.edits {
         if edit.outcome().is_none() {
-            let what = format!("{}: never answered", edit.edit.id.0);
+            let what = format!("{}: edit has no outcome", edit.edit.id.0);
             add(Promise::ConfigurationInForce, what);
         }
     }
     check_rows(world, add);
 }
 
-/// Every row holds what the accepted edit with the highest version wrote.
+/// Checks that every router has each row as the accepted edit with the highest version wrote it.
 fn check_rows(world: &World, add: &mut impl FnMut(Promise, String)) {
     let mut last: BTreeMap<&RowKey, (Version, &Option<Row>)> = BTreeMap::new();
     for edit in &world.edits {
@@ -309,7 +317,7 @@
     for (machine, router) in world.live_routers() {
         for (key, (version, row)) in &last {
             if router.table().get(key) != row.as_ref() {
-                let what = format!("{machine}: {key} is not what version {version} wrote");
+                let what = format!("{machine}: {key} differs from what version {version} wrote");
                 add(Promise::ConfigurationInForce, what);
             }
         }
--- a/crates/sim/src/effects.rs
+++ b/crates/sim/src/effects.rs
@@ -1,6 +1,6 @@
-//! Carrying out what the processes ask for.
+//! Applies the effects that the state machines of the processes return.
 
-use crate::back_ends::target_is_model;
+use crate::back_ends::is_engine;
 use crate::callers::AttemptEnd;
 use crate::process::ProcessId;
 use crate::step::Step;
@@ -11,10 +11,10 @@
 use stackpost_types::*;
 
 impl World {
-    pub(crate) fn carry_out(&mut self, node: &NodeId, effect: Effect) {
+    pub(crate) fn apply_effect(&mut self, node: &NodeId, effect: Effect) {
         let me = Peer::Router(node.clone());
         if let Some(step) = Step::of_effect(&effect) {
-            self.see(step, &me);
+            self.observe_step(step, &me);
         }
         match effect {
             Effect::Send { to, message } => self.transmit(me, to, message),
@@ -32,7 +32,9 @@
             }
             Effect::Cancel { call, number } => self.cancel(node, call, number),
             Effect::StartResponse(_) => {}
-            Effect::Dropped(call) => self.end_attempt(&(node.clone(), call), AttemptEnd::Left),
+            Effect::Dropped(call) => {
+                self.end_attempt(&(node.clone(), call), AttemptEnd::Disconnected)
+            }
             Effect::Finish { call, billed } => {
                 self.history.note(self.now, node, format!("finishes {}: {billed}", call.0));
                 let key = (node.clone(), call);
@@ -55,9 +57,10 @@
                 self.end_attempt(&(node.clone(), call), AttemptEnd::Refused(refusal));
             }
             Effect::QueryUsage { account, request, back_end, .. } => {
-                if !target_is_model(&back_end) {
-                    let wrong = format!("{node}: asked plain service {back_end} for its usage");
-                    self.wrongs.push(wrong);
+                if !is_engine(&back_end) {
+                    let violation =
+                        format!("{node}: queried the usage of plain service {back_end}");
+                    self.immediate_violations.push(violation);
                 }
                 self.query_usage(node, account, request, &back_end);
             }
@@ -68,25 +71,25 @@
     }
 
     pub(crate) fn fence(&mut self, node: &NodeId) {
-        self.history.note(self.now, node, "was replaced: goes on as a new life");
+        self.history.note(self.now, node, "was fenced: continues as a new incarnation");
         self.engines_lose_router(node);
         let now = self.now;
         let control: Vec<MachineName> = self.replicas.keys().cloned().collect();
         let defects = self.defect.router;
         let Some(process) = self.routers.get_mut(&node.machine) else { return };
         let Some(ended) = process.router.take() else { return };
-        process.lives += 1;
+        process.incarnation += 1;
         let config = process.config(&node.machine, control, defects);
         process.router = Some(ended.next_incarnation(config, process.clock(now)));
-        self.begin_life(&node.machine);
+        self.begin_incarnation(&node.machine);
     }
 
-    pub(crate) fn carry_out_control(&mut self, machine: &MachineName, effect: ControlEffect) {
+    pub(crate) fn apply_control_effect(&mut self, machine: &MachineName, effect: ControlEffect) {
         match effect {
             ControlEffect::Send { to, message } => {
                 self.transmit(Peer::Control(machine.clone()), to, message);
             }
-            ControlEffect::EditReply { token, reply } => self.edit_answered(token, reply),
+            ControlEffect::EditReply { token, reply } => self.receive_edit_reply(token, reply),
             ControlEffect::Order { .. } => {}
             ControlEffect::Warn(text) => {
                 self.history.note(self.now, format!("control {machine}"), text);
@@ -96,9 +99,9 @@
 
     pub(crate) fn transmit(&mut self, from: Peer, to: Peer, message: Message) {
         for step in Step::of_message(&message) {
-            self.see(step, &from);
+            self.observe_step(step, &from);
         }
-        if self.sender_is_gone(&from) {
+        if self.sender_has_ended(&from) {
             return;
         }
         if let Some(traffic) = &mut self.traffic {
@@ -111,31 +114,31 @@
         }
     }
 
-    /// A fault that strikes at the sending of a message takes the message with it.
-    pub(crate) fn sender_is_gone(&self, from: &Peer) -> bool {
+    /// Whether the sender has ended: a fault injected at the sending of a message also loses the
+    /// message.
+    pub(crate) fn sender_has_ended(&self, from: &Peer) -> bool {
         match from {
-            Peer::Router(node) => self
-                .routers
-                .get(&node.machine)
-                .is_none_or(|held| !held.is_running() || held.node(&node.machine) != *node),
+            Peer::Router(node) => self.routers.get(&node.machine).is_none_or(|process| {
+                !process.is_running() || process.node(&node.machine) != *node
+            }),
             Peer::Control(machine) => {
-                self.replicas.get(machine).is_none_or(|held| held.replica.is_none())
+                self.replicas.get(machine).is_none_or(|process| process.replica.is_none())
             }
         }
     }
 
-    /// A step is seen at a process; a trap for it may go off.
-    pub(crate) fn see(&mut self, step: Step, at: &Peer) {
+    /// Records that a process takes a step, and injects the fault that waits for this step.
+    pub(crate) fn observe_step(&mut self, step: Step, at: &Peer) {
         let now = self.now;
-        let Some(trap) = &mut self.trap else { return };
-        if trap.step != step || trap.struck_at.is_some() {
+        let Some(step_trigger) = &mut self.step_trigger else { return };
+        if step_trigger.step != step || step_trigger.injected_at.is_some() {
             return;
         }
-        trap.left = trap.left.saturating_sub(1);
-        if trap.left == 0 {
-            trap.struck_at = Some(now);
-            let fault = trap.fault;
-            self.strike(fault, Some(ProcessId::of(at)));
+        step_trigger.remaining = step_trigger.remaining.saturating_sub(1);
+        if step_trigger.remaining == 0 {
+            step_trigger.injected_at = Some(now);
+            let fault = step_trigger.fault;
+            self.inject(fault, Some(ProcessId::of(at)));
         }
     }
 }
--- a/crates/sim/src/engines.rs
+++ b/crates/sim/src/engines.rs
@@ -1,18 +1,18 @@
-//! Back ends: what they were sent and what they did.
+//! Back ends and the record of the requests they executed.
 
 use stackpost_types::{BackEndName, NodeId, RequestId, ServiceName, ZoneName};
 use std::collections::BTreeMap;
 
-/// One request that a back end began to work on.
+/// One request that a back end started to execute.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Execution {
     /// The back end.
     pub back_end: BackEndName,
     /// The request.
     pub request: RequestId,
-    /// When it was received.
+    /// When it was received, in milliseconds.
     pub at: u64,
-    /// Tokens that the whole answer has.
+    /// Tokens of the complete response.
     pub tokens: u64,
 }
 
@@ -22,26 +22,26 @@
     pub zone: ZoneName,
     pub service: ServiceName,
     pub alive: bool,
-    /// Dies as soon as it has received, or answered, the next request.
-    pub dies_at: Option<DeathPoint>,
-    /// Since when it is leaving, by its own knowledge.
+    /// Point of the next request at which it crashes.
+    pub crashes_at: Option<CrashPoint>,
+    /// When it started leaving; the platform's list shows it later.
     pub leaving_since: Option<u64>,
-    /// Attempts that are being worked on, with the router that sent each.
-    pub working: BTreeMap<(NodeId, u64, u32), RequestId>,
+    /// Attempts in progress, by router incarnation, call and attempt number.
+    pub in_progress: BTreeMap<(NodeId, u64, u32), RequestId>,
 }
 
-/// A moment at which a back end dies.
+/// A point of a request at which a back end crashes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum DeathPoint {
-    /// Before it has received a request.
+pub enum CrashPoint {
+    /// Before the request is received.
     Before,
-    /// While it works on one.
+    /// While the request is executed.
     During,
-    /// Right after it has sent the whole answer.
+    /// Right after the complete response was sent.
     After,
 }
 
-/// All back ends and everything they did.
+/// All back ends and everything they executed.
 #[derive(Clone, Debug, Default)]
 pub struct Engines {
     pub back_ends: BTreeMap<BackEndName, SimBackEnd>,
@@ -49,7 +49,7 @@
 }
 
 impl Engines {
-    /// Notes that a back end has begun to work on a request.
+    /// Records that a back end has started to execute a request.
     pub fn execute(&mut self, back_end: &BackEndName, request: RequestId, at: u64, tokens: u64) {
         let back_end = back_end.clone();
         self.executions.push(Execution { back_end, request, at, tokens });
--- a/crates/sim/src/fault.rs
+++ b/crates/sim/src/fault.rs
@@ -1,6 +1,6 @@
-//! Faults, and the traps that let one strike at a step.
+//! Faults, and the triggers that inject a fault at a step.
 
-use crate::engines::DeathPoint;
+use crate::engines::CrashPoint;
 use crate::network::Cut;
 use crate::operators::PlannedEdit;
 use crate::process::ProcessId;
@@ -11,16 +11,16 @@
 use stackpost_table::{BudgetRow, Row, RowKey};
 use stackpost_types::*;
 
-/// How long a cut or a freeze lasts, in milliseconds.
-const LONG: u64 = 12_000;
-/// How long a dead process stays dead.
-const DEAD: u64 = 4_000;
-/// Bytes of an unsynced write that reach the disk when power is lost.
+/// Duration of a partition, a freeze or a bad network.
+const FAULT_DURATION_MS: u64 = 12_000;
+/// Time between the end of a killed process and its restart.
+const RESTART_DELAY_MS: u64 = 4_000;
+/// Bytes of an unsynced write that reach the disk on power loss: a torn write.
 const TORN_BYTES: usize = 7;
-/// Edits made before a restart.
-const MANY_EDITS: usize = 520;
+/// Edits sent before the restart of [`Fault::RestartAfterManyEdits`].
+const EDITS_BEFORE_RESTART: usize = 520;
 
-/// A fault.
+/// A fault that the simulation can inject.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[allow(missing_docs)]
 pub enum Fault {
@@ -50,7 +50,7 @@
 }
 
 impl Fault {
-    /// Every fault, in the order of the matrix's rows.
+    /// Every fault, in the order of the rows of the fault matrix.
     pub const ALL: [Self; 23] = [
         Self::RouterKilled,
         Self::LeaderKilled,
@@ -77,33 +77,35 @@
         Self::LaggingMachineList,
     ];
 
-    /// Whether it can take both copies of an account at once, and with them bills that were not
+    /// Whether it can destroy both copies of an account at once, and with them bills that are not
     /// yet archived.
     pub fn may_lose_both_copies(self) -> bool {
         matches!(self, Self::ZoneLost | Self::SecondMachineLostAfterRepair)
     }
 }
 
-/// A fault that waits for a step.
+/// Injects a fault when a step has been taken a given number of times.
 #[derive(Clone, Debug)]
-pub(crate) struct Trap {
+pub(crate) struct StepTrigger {
     pub fault: Fault,
     pub step: Step,
-    pub left: u32,
-    pub struck_at: Option<u64>,
+    /// Occurrences of the step until the fault is injected.
+    pub remaining: u32,
+    pub injected_at: Option<u64>,
 }
 
 impl World {
-    /// Lets a fault strike, at the process `at` where that makes a difference.
-    pub(crate) fn strike(&mut self, fault: Fault, at: Option<ProcessId>) {
+    /// Injects a fault: at the process `at`, or at a random machine if `at` is `None` or names no
+    /// machine with a router.
+    pub(crate) fn inject(&mut self, fault: Fault, at: Option<ProcessId>) {
         self.history.note(self.now, "fault", format!("{fault:?}"));
-        let machine = self.struck_machine(&at);
+        let machine = self.faulted_machine(&at);
         match fault {
-            Fault::RouterKilled => self.kill_and_restart_router(&machine, DEAD),
+            Fault::RouterKilled => self.kill_and_restart_router(&machine, RESTART_DELAY_MS),
             Fault::LeaderKilled => {
                 if let Some(leader) = self.leader() {
                     self.kill_replica(&leader, Some(0));
-                    self.schedule(DEAD, Action::Start(ProcessId::Replica(leader)));
+                    self.schedule(RESTART_DELAY_MS, Action::Start(ProcessId::Replica(leader)));
                 }
             }
             Fault::SecondMachineLostAfterRepair => self.lose_second_machine(&machine),
@@ -116,62 +118,62 @@
             }
             Fault::ZoneCutOff => {
                 let zone = self.zone_of(&machine);
-                self.cut_for_long(Cut::Zone(zone));
+                self.partition_temporarily(Cut::Zone(zone));
             }
             Fault::RegionsCutOff => {
                 let half = self.shape.zones.len() / 2;
                 let zones = self.shape.zones.iter().take(half).map(ZoneName::new).collect();
-                self.cut_for_long(Cut::Region(zones));
+                self.partition_temporarily(Cut::Region(zones));
             }
             Fault::LeaderCutOffSilently => {
                 if let Some(leader) = self.leader() {
-                    self.cut_for_long(Cut::Replica(leader));
+                    self.partition_temporarily(Cut::Replica(leader));
                 }
             }
             Fault::OneWayCut => {
                 let zone = self.zone_of(&machine);
-                self.cut_for_long(Cut::IntoZone(zone));
+                self.partition_temporarily(Cut::IntoZone(zone));
             }
-            Fault::RouterFrozen => self.freeze_for_long(ProcessId::Router(machine)),
+            Fault::RouterFrozen => self.freeze_temporarily(ProcessId::Router(machine)),
             Fault::LeaderFrozen => {
                 if let Some(leader) = self.leader() {
-                    self.freeze_for_long(ProcessId::Replica(leader));
+                    self.freeze_temporarily(ProcessId::Replica(leader));
                 }
             }
             Fault::BadNetwork => {
                 self.network.drop_permille = 60;
                 self.network.duplicate_permille = 100;
                 self.network.late_permille = 100;
-                self.schedule(LONG, Action::Heal);
+                self.schedule(FAULT_DURATION_MS, Action::Heal);
             }
             Fault::RacingEdits => self.race_edits(),
             Fault::ResentEdit => {
                 let last = self.edits.len() - 1;
                 self.resend_edit(last);
             }
-            Fault::EngineDiesBefore => self.engine_dies(DeathPoint::Before),
-            Fault::EngineDiesDuring => self.engine_dies(DeathPoint::During),
-            Fault::EngineDiesAfter => self.engine_dies(DeathPoint::After),
+            Fault::EngineDiesBefore => self.plan_engine_crashes(CrashPoint::Before),
+            Fault::EngineDiesDuring => self.plan_engine_crashes(CrashPoint::During),
+            Fault::EngineDiesAfter => self.plan_engine_crashes(CrashPoint::After),
             Fault::EngineLeaves => {
-                let name = self.some_back_end();
+                let name = self.random_engine();
                 self.back_end_leaves(&name);
             }
-            Fault::PlannedStop => self.stop_router(&machine),
+            Fault::PlannedStop => self.drain_router(&machine),
             Fault::RestartAfterManyEdits => self.restart_after_many_edits(&machine),
             Fault::ClockJump => self.wall_jump = 86_400_000,
             Fault::LaggingMachineList => {
                 self.platform_extra_lag = 500;
-                let name = self.some_back_end();
+                let name = self.random_engine();
                 self.back_end_leaves(&name);
             }
         }
     }
 
-    /// The machine at which the fault was noticed, if it has a router.
-    fn struck_machine(&mut self, at: &Option<ProcessId>) -> MachineName {
-        let named = at.as_ref().map(|process| process.machine().clone());
+    /// The machine of `at` if it has a router, otherwise a random machine with a router.
+    fn faulted_machine(&mut self, at: &Option<ProcessId>) -> MachineName {
+        let requested = at.as_ref().map(|process| process.machine().clone());
         let names: Vec<MachineName> = self.routers.keys().cloned().collect();
-        match named.filter(|name| names.contains(name)) {
+        match requested.filter(|name| names.contains(name)) {
             Some(name) => name,
             None => names[self.rng.random_range(0..names.len())].clone(),
         }
@@ -184,15 +186,18 @@
     fn neighbours(&self, machine: &MachineName) -> Vec<MachineName> {
         let zone = self.zone_of(machine);
         let others =
-            self.routers.iter().filter(|(name, held)| *name != machine && held.zone == zone);
+            self.routers.iter().filter(|(name, process)| *name != machine && process.zone == zone);
         others.map(|(name, _)| name.clone()).collect()
     }
 
     fn nearest_replica(&self, machine: &MachineName) -> MachineName {
         let zone = self.zone_of(machine);
-        let near = self.replicas.iter().find(|(_, held)| held.zone == zone);
+        let in_zone = self.replicas.iter().find(|(_, process)| process.zone == zone);
         let any = self.replicas.iter().next();
-        near.or(any).map(|(name, _)| name.clone()).expect("there are replicas")
+        in_zone
+            .or(any)
+            .map(|(name, _)| name.clone())
+            .expect("the fleet has at least one control replica")
     }
 
     fn kill_and_restart_router(&mut self, machine: &MachineName, after: u64) {
@@ -200,12 +205,13 @@
         self.schedule(after, Action::Start(ProcessId::Router(machine.clone())));
     }
 
-    /// The machine dies; as soon as its account has been taken over, so does the one that took it.
+    /// Kills the machine and, 2.6 s later, the other machines of its zone: one of them has taken
+    /// over the account by then.
     fn lose_second_machine(&mut self, machine: &MachineName) {
         self.kill_and_restart_router(machine, 20_000);
         for neighbour in self.neighbours(machine) {
             let at = Some(ProcessId::Router(neighbour));
-            self.schedule(2_600, Action::Strike { fault: Fault::RouterKilled, at });
+            self.schedule(2_600, Action::Inject { fault: Fault::RouterKilled, at });
         }
     }
 
@@ -214,21 +220,21 @@
         let routers: Vec<MachineName> = self
             .routers
             .iter()
-            .filter(|(_, held)| held.zone == zone)
+            .filter(|(_, process)| process.zone == zone)
             .map(|(name, _)| name.clone())
             .collect();
         for name in routers {
-            self.kill_and_restart_router(&name, DEAD);
+            self.kill_and_restart_router(&name, RESTART_DELAY_MS);
         }
         let replicas: Vec<MachineName> = self
             .replicas
             .iter()
-            .filter(|(_, held)| held.zone == zone)
+            .filter(|(_, process)| process.zone == zone)
             .map(|(name, _)| name.clone())
             .collect();
         for name in replicas {
             self.kill_replica(&name, Some(0));
-            self.schedule(DEAD, Action::Start(ProcessId::Replica(name)));
+            self.schedule(RESTART_DELAY_MS, Action::Start(ProcessId::Replica(name)));
         }
     }
 
@@ -243,23 +249,23 @@
         self.schedule(1_000, Action::Start(ProcessId::Replica(replica)));
     }
 
-    fn cut_for_long(&mut self, cut: Cut) {
+    fn partition_temporarily(&mut self, cut: Cut) {
         self.cut(cut);
-        self.schedule(LONG, Action::Heal);
+        self.schedule(FAULT_DURATION_MS, Action::Heal);
     }
 
-    fn freeze_for_long(&mut self, process: ProcessId) {
+    fn freeze_temporarily(&mut self, process: ProcessId) {
         self.freeze(&process);
-        self.schedule(LONG, Action::Thaw(process));
+        self.schedule(FAULT_DURATION_MS, Action::Thaw(process));
     }
 
-    /// Two operators edit the same row from the same version at two replicas.
+    /// Two operators concurrently edit the same row, based on the same version, at two replicas.
     fn race_edits(&mut self) {
         let key = RowKey::Budget(BudgetName::new("tenant-0"));
-        let held = self.live_replicas().next().and_then(|(_, replica)| {
-            replica.state().table().get_versioned(&key).map(|held| held.version)
+        let version = self.live_replicas().next().and_then(|(_, replica)| {
+            replica.state().table().get_versioned(&key).map(|row| row.version)
         });
-        let Some(version) = held else { return };
+        let Some(version) = version else { return };
         let replicas: Vec<MachineName> = self.replicas.keys().cloned().collect();
         for (index, replica) in replicas.into_iter().take(2).enumerate() {
             let limit = Tokens(70_000 + index as u64);
@@ -272,7 +278,7 @@
         }
     }
 
-    fn some_back_end(&mut self) -> BackEndName {
+    fn random_engine(&mut self) -> BackEndName {
         let names: Vec<BackEndName> = self
             .engines
             .back_ends
@@ -283,12 +289,12 @@
         names[self.rng.random_range(0..names.len())].clone()
     }
 
-    /// Two engines of different zones die, each at the next request it gets.
-    fn engine_dies(&mut self, point: DeathPoint) {
+    /// Makes up to two engines and one plain service crash at the next request each receives.
+    fn plan_engine_crashes(&mut self, point: CrashPoint) {
         for _ in 0..2 {
-            let name = self.some_back_end();
+            let name = self.random_engine();
             if let Some(back_end) = self.engines.back_ends.get_mut(&name) {
-                back_end.dies_at = Some(point);
+                back_end.crashes_at = Some(point);
             }
         }
         let plain: Vec<BackEndName> = self
@@ -300,13 +306,13 @@
             .collect();
         let chosen = plain[self.rng.random_range(0..plain.len())].clone();
         if let Some(back_end) = self.engines.back_ends.get_mut(&chosen) {
-            back_end.dies_at = Some(point);
+            back_end.crashes_at = Some(point);
         }
     }
 
-    fn stop_router(&mut self, machine: &MachineName) {
+    fn drain_router(&mut self, machine: &MachineName) {
         let now = self.now;
-        self.history.note(now, format!("router {machine}"), "is asked to stop");
+        self.history.note(now, format!("router {machine}"), "receives the drain signal");
         let Some(process) = self.routers.get_mut(machine) else { return };
         process.draining = true;
         let clock = process.clock(now);
@@ -323,9 +329,9 @@
         self.schedule(15_000, Action::Start(ProcessId::Router(machine.clone())));
     }
 
-    /// Hundreds of edits, then every control replica and one router restart.
+    /// Sends [`EDITS_BEFORE_RESTART`] edits, then restarts every control replica and one router.
     fn restart_after_many_edits(&mut self, machine: &MachineName) {
-        for number in 0..MANY_EDITS {
+        for number in 0..EDITS_BEFORE_RESTART {
             let limit = Tokens(30_000 + number as u64);
             let key = RowKey::Budget(BudgetName::new(format!("extra-{}", number % 40)));
             let row = Some(Row::Budget(BudgetRow { limit }));
@@ -333,12 +339,12 @@
         }
         let replicas: Vec<MachineName> = self.replicas.keys().cloned().collect();
         for (index, replica) in replicas.into_iter().enumerate() {
-            // One after the other, but all of them are down together for a while.
+            // They lose power one after the other, but are all down at the same time for a while.
             self.schedule(3_000 + 20 * index as u64, Action::PowerLoss(replica));
         }
         self.schedule(
             3_100,
-            Action::Strike {
+            Action::Inject {
                 fault: Fault::RouterKilled,
                 at: Some(ProcessId::Router(machine.clone())),
             },
--- a/crates/sim/src/fleet.rs
+++ b/crates/sim/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Fleets to simulate.
+//! Shapes and initial tables of the simulated fleets.
 
 use stackpost_table::*;
 use stackpost_types::*;
@@ -6,18 +6,18 @@
 
 /// The model that every engine serves.
 pub const MODEL: &str = "chat";
-/// The service of the engines.
+/// The model service, which the engines provide.
 pub const MODEL_SERVICE: &str = "models";
-/// The service of the plain servers.
+/// The plain service.
 pub const PLAIN_SERVICE: &str = "app";
-/// A path of the plain service whose calls may not be repeated.
-pub const ONCE_PATH: &str = "/tickets";
-/// A path of the plain service whose calls may be repeated.
+/// A path of the plain service whose calls are not idempotent.
+pub const NON_REPEATABLE_PATH: &str = "/tickets";
+/// A path of the plain service whose calls are idempotent.
 pub const REPEATABLE_PATH: &str = "/timetable";
-/// What one call of a plain service costs.
+/// Cost of one call of the plain service, in tokens.
 pub const PLAIN_COST: u64 = 20;
 
-/// Size of a fleet.
+/// Size and policy of a fleet.
 #[derive(Clone, Debug)]
 pub struct FleetShape {
     /// Names of the zones.
@@ -26,16 +26,16 @@
     pub routers_per_zone: usize,
     /// Engines in each zone.
     pub engines_per_zone: usize,
-    /// Tenants, each with a budget of its own and this many tokens.
+    /// Budget limit of each tenant, in tokens; every tenant has a budget of its own.
     pub limits: Vec<u64>,
     /// One-way delay between zones, in milliseconds.
     pub zone_delay: u64,
-    /// Knobs.
+    /// The fleet's policy row.
     pub policy: PolicyRow,
 }
 
 impl FleetShape {
-    /// Three zones with two entry machines each; weighs false refusals.
+    /// Three zones with two routers each, where false refusals are weighted most.
     pub fn lagos() -> Self {
         Self {
             zones: vec!["marina", "ikorodu", "badore"],
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Four zones with two entry machines each; weighs overspend.
+    /// Four zones with two routers each, where overspend is weighted most.
     pub fn bogota() -> Self {
         Self {
             zones: vec!["norte", "sur", "occ", "chia"],
@@ -63,7 +63,7 @@
         }
     }
 
-    /// The machines with a router, with their zones.
+    /// The machines that run a router, with their zones.
     pub fn machines(&self) -> Vec<(MachineName, ZoneName)> {
         let mut machines = Vec::new();
         for zone in &self.zones {
@@ -74,7 +74,7 @@
         machines
     }
 
-    /// The machines with a disk: the first one of each of the first three zones.
+    /// The machines that run a control replica: the first machine of each of the first three zones.
     pub fn replicas(&self) -> Vec<(MachineName, ZoneName)> {
         let zones = self.zones.iter().take(3);
         zones.map(|zone| (MachineName::new(format!("{zone}-1")), ZoneName::new(zone))).collect()
@@ -82,16 +82,16 @@
 
     /// The back ends with their zones and services.
     pub fn back_ends(&self) -> Vec<(BackEndName, ZoneName, ServiceName)> {
-        let mut found = Vec::new();
+        let mut back_ends = Vec::new();
         for zone in &self.zones {
             for number in 1..=self.engines_per_zone {
                 let name = BackEndName::new(format!("{zone}-engine-{number}"));
-                found.push((name, ZoneName::new(zone), ServiceName::new(MODEL_SERVICE)));
+                back_ends.push((name, ZoneName::new(zone), ServiceName::new(MODEL_SERVICE)));
             }
             let name = BackEndName::new(format!("{zone}-app"));
-            found.push((name, ZoneName::new(zone), ServiceName::new(PLAIN_SERVICE)));
+            back_ends.push((name, ZoneName::new(zone), ServiceName::new(PLAIN_SERVICE)));
         }
-        found
+        back_ends
     }
 
     /// Name of tenant number `index`; its budget has the same name.
@@ -104,7 +104,7 @@
         KeyHash::of(&Self::tenant(index))
     }
 
-    /// The first table, in an order in which each row's references exist.
+    /// Rows of the initial table, ordered so that each row refers only to earlier ones.
     pub fn rows(&self) -> Vec<(RowKey, Row)> {
         let mut rows = vec![(RowKey::Policy, Row::Policy(self.policy.clone()))];
         for zone in &self.zones {
@@ -184,7 +184,7 @@
             service(ServiceKind::Model, vec![ModelName::new(MODEL)]),
         ),
         (RowKey::Service(PLAIN_SERVICE.into()), service(ServiceKind::Plain, Vec::new())),
-        (RowKey::Route("tickets".into()), route(ONCE_PATH, false)),
+        (RowKey::Route("tickets".into()), route(NON_REPEATABLE_PATH, false)),
         (RowKey::Route("timetable".into()), route(REPEATABLE_PATH, true)),
     ]
 }
--- a/crates/sim/src/history.rs
+++ b/crates/sim/src/history.rs
@@ -1,8 +1,8 @@
-//! What happened, as lines of text.
+//! The history of a run, as lines of text.
 
 use std::fmt::Display;
 
-/// Lines of a run, in order. The same seed writes the same lines.
+/// The lines of a run, in order. The same seed produces the same lines.
 #[derive(Clone, Debug, Default)]
 pub struct History {
     lines: Vec<String>,
@@ -10,12 +10,12 @@
 }
 
 impl History {
-    /// A history that keeps its lines if `enabled`.
+    /// Creates a history, which discards all lines unless `enabled`.
     pub fn new(enabled: bool) -> Self {
         Self { lines: Vec::new(), enabled }
     }
 
-    /// Adds a line.
+    /// Appends a line with the time `now`, in milliseconds.
     pub fn note(&mut self, now: u64, who: impl Display, what: impl Display) {
         if self.enabled {
             self.lines.push(format!("{now:>7} {who}: {what}"));
--- a/crates/sim/src/lib.rs
+++ b/crates/sim/src/lib.rs
@@ -1,10 +1,11 @@
-//! A whole fleet in one thread: the real state machines of routers and control replicas under a
-//! seeded scheduler with a virtual clock, a network that delays, drops, duplicates, reorders and
-//! cuts, and disks that lose what was not synced. One seed gives one history, byte for byte.
+//! Deterministic simulation of a whole fleet in one thread: the production state machines of
+//! routers and control replicas run under a seeded scheduler with a virtual clock, a network that
+//! delays, drops, duplicates and reorders messages and can be partitioned, and disks that lose
+//! unsynced writes. The same seed gives the same history, byte for byte.
 //!
-//! [`World`] is the fleet and its surroundings; [`fleet`] makes the fleets of the examples;
-//! [`Fault`] is what may happen to it and [`Step`] when; [`check`] compares the histories of
-//! callers, engines, bills and control with what must always hold.
+//! [`World`] holds the fleet, its callers, back ends and operators; [`fleet`] defines the example
+//! fleets. A [`Fault`] is injected at a [`Step`]. [`check`] verifies the invariants against the
+//! histories of callers, engines, bills and control replicas.
 
 mod back_ends;
 mod caller_actions;
--- a/crates/sim/src/lifecycle.rs
+++ b/crates/sim/src/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Starting, killing, freezing and feeding the processes of the fleet.
+//! Starts, kills and freezes the processes of the fleet and delivers events to them.
 
 use crate::callers::AttemptEnd;
 use crate::fleet;
@@ -10,8 +10,8 @@
 use stackpost_router_core::*;
 use stackpost_types::*;
 
-/// Time between two ticks of a process, in milliseconds.
-const TICK: u64 = 20;
+/// Interval between two ticks of a process.
+const TICK_INTERVAL_MS: u64 = 20;
 
 impl World {
     pub(crate) fn start(&mut self, process: &ProcessId) {
@@ -28,20 +28,20 @@
         if process.is_running() {
             return;
         }
-        process.lives += 1;
+        process.incarnation += 1;
         process.draining = false;
         let config = process.config(machine, control, defects);
         process.router = Some(Router::new(config, process.clock(now)));
-        self.begin_life(machine);
+        self.begin_incarnation(machine);
     }
 
-    pub(crate) fn begin_life(&mut self, machine: &MachineName) {
+    pub(crate) fn begin_incarnation(&mut self, machine: &MachineName) {
         let node = self.routers[machine].node(machine);
         self.history.note(self.now, &node, "starts");
-        let life = node.incarnation.0;
-        self.schedule(5, Action::PlatformRead { machine: machine.clone(), life });
+        let incarnation = node.incarnation.0;
+        self.schedule(5, Action::PlatformRead { machine: machine.clone(), incarnation });
         let process = ProcessId::Router(machine.clone());
-        self.schedule(0, Action::Tick { process, life });
+        self.schedule(0, Action::Tick { process, incarnation });
     }
 
     pub(crate) fn start_replica(&mut self, machine: &MachineName) {
@@ -54,7 +54,7 @@
             return;
         }
         process.starts += 1;
-        let life = process.starts;
+        let incarnation = process.starts;
         let config = ReplicaConfig {
             name: machine.clone(),
             replicas: names,
@@ -70,16 +70,21 @@
                 process.replica = Some(replica);
                 self.history.note(now, format!("control {machine}"), "starts");
                 let process = ProcessId::Replica(machine.clone());
-                self.schedule(0, Action::Tick { process, life });
+                self.schedule(0, Action::Tick { process, incarnation });
             }
             Err(error) => {
-                self.history.note(now, format!("control {machine}"), format!("refuses: {error}"));
-                self.wrongs.push(format!("control {machine} does not start: {error}"));
+                self.history.note(
+                    now,
+                    format!("control {machine}"),
+                    format!("failed to start: {error}"),
+                );
+                self.immediate_violations
+                    .push(format!("control {machine} failed to start: {error}"));
             }
         }
     }
 
-    /// Ends a router at once; its callers' connections break.
+    /// Ends a router at once; the connections of its callers break.
     pub(crate) fn kill_router(&mut self, machine: &MachineName, planned: bool) {
         let now = self.now;
         let Some(process) = self.routers.get_mut(machine) else { return };
@@ -88,21 +93,21 @@
         }
         process.frozen = false;
         let node = process.node(machine);
-        self.held.remove(&ProcessId::Router(machine.clone()));
-        self.history.note(now, &node, if planned { "ends" } else { "dies" });
-        let broken: Vec<(NodeId, CallId)> =
+        self.deferred_actions.remove(&ProcessId::Router(machine.clone()));
+        self.history.note(now, &node, if planned { "ends" } else { "killed" });
+        let open_calls: Vec<(NodeId, CallId)> =
             self.callers.open.keys().filter(|(at, _)| *at == node).cloned().collect();
-        for key in broken {
+        for key in open_calls {
             self.end_attempt(&key, AttemptEnd::Lost { planned });
         }
         self.engines_lose_router(&node);
     }
 
-    /// Engines stop generating for a router that is gone; plain services finish what they began.
+    /// Engines cancel the requests of a router that has ended; plain services complete theirs.
     pub(crate) fn engines_lose_router(&mut self, node: &NodeId) {
         for back_end in self.engines.back_ends.values_mut() {
             if back_end.service.as_str() == fleet::MODEL_SERVICE {
-                back_end.working.retain(|(at, ..), _| at != node);
+                back_end.in_progress.retain(|(at, ..), _| at != node);
             }
         }
     }
@@ -117,21 +122,21 @@
             process.disk.simulate_power_loss(bytes);
             process.bill_disk.simulate_power_loss(bytes);
         }
-        self.held.remove(&ProcessId::Replica(machine.clone()));
-        self.history.note(now, format!("control {machine}"), "dies");
+        self.deferred_actions.remove(&ProcessId::Replica(machine.clone()));
+        self.history.note(now, format!("control {machine}"), "killed");
     }
 
     pub(crate) fn freeze(&mut self, process: &ProcessId) {
         self.history.note(self.now, process, "freezes");
         match process {
             ProcessId::Router(name) => {
-                if let Some(held) = self.routers.get_mut(name) {
-                    held.frozen = held.is_running();
+                if let Some(state) = self.routers.get_mut(name) {
+                    state.frozen = state.is_running();
                 }
             }
             ProcessId::Replica(name) => {
-                if let Some(held) = self.replicas.get_mut(name) {
-                    held.frozen = held.replica.is_some();
+                if let Some(state) = self.replicas.get_mut(name) {
+                    state.frozen = state.replica.is_some();
                 }
             }
         }
@@ -140,42 +145,42 @@
     pub(crate) fn thaw(&mut self, process: &ProcessId) {
         match process {
             ProcessId::Router(name) => {
-                if let Some(held) = self.routers.get_mut(name) {
-                    held.frozen = false;
+                if let Some(state) = self.routers.get_mut(name) {
+                    state.frozen = false;
                 }
             }
             ProcessId::Replica(name) => {
-                if let Some(held) = self.replicas.get_mut(name) {
-                    held.frozen = false;
+                if let Some(state) = self.replicas.get_mut(name) {
+                    state.frozen = false;
                 }
             }
         }
         self.history.note(self.now, process, "thaws");
-        // A thawed process finds everything that came meanwhile, all at once.
-        for action in self.held.remove(process).unwrap_or_default() {
+        // A thawed process receives all events that arrived while it was frozen at once.
+        for action in self.deferred_actions.remove(process).unwrap_or_default() {
             self.schedule(0, action);
         }
     }
 
-    pub(crate) fn tick(&mut self, process: &ProcessId, life: u64) {
+    pub(crate) fn tick(&mut self, process: &ProcessId, incarnation: u64) {
         match process {
             ProcessId::Router(machine) => {
-                let Some(held) = self.routers.get(machine) else { return };
-                if !held.is_running() || held.lives != life {
+                let Some(state) = self.routers.get(machine) else { return };
+                if !state.is_running() || state.incarnation != incarnation {
                     return;
                 }
-                let node = held.node(machine);
+                let node = state.node(machine);
                 self.router_event(&node, Event::Tick);
             }
             ProcessId::Replica(machine) => {
-                let Some(held) = self.replicas.get(machine) else { return };
-                if held.replica.is_none() || held.starts != life {
+                let Some(state) = self.replicas.get(machine) else { return };
+                if state.replica.is_none() || state.starts != incarnation {
                     return;
                 }
                 self.replica_event(machine, ControlEvent::Tick);
             }
         }
-        self.schedule(TICK, Action::Tick { process: process.clone(), life });
+        self.schedule(TICK_INTERVAL_MS, Action::Tick { process: process.clone(), incarnation });
     }
 
     pub(crate) fn deliver(&mut self, from: Peer, to: &Peer, message: Message) {
@@ -189,7 +194,7 @@
         }
     }
 
-    /// Lets a router take in an event, if this life of it is still there.
+    /// Delivers an event to a router, unless this incarnation of it has ended.
     pub(crate) fn router_event(&mut self, node: &NodeId, event: Event) {
         let (now, wall) = (self.now, self.wall());
         let Some(process) = self.routers.get_mut(&node.machine) else { return };
@@ -201,14 +206,14 @@
         let effects = router.handle(clock, wall, event);
         let version = router.version();
         if version < process.newest_version && router.version() > Version(0) {
-            self.wrongs.push(format!(
-                "{node}: configuration went back from {} to {version}",
+            self.immediate_violations.push(format!(
+                "{node}: configuration version went back from {} to {version}",
                 process.newest_version
             ));
         }
         process.newest_version = process.newest_version.max(version);
         for effect in effects {
-            self.carry_out(node, effect);
+            self.apply_effect(node, effect);
         }
     }
 
@@ -220,7 +225,7 @@
         match replica.handle(clock, event) {
             Ok(effects) => {
                 for effect in effects {
-                    self.carry_out_control(machine, effect);
+                    self.apply_control_effect(machine, effect);
                 }
             }
             Err(error) => {
--- a/crates/sim/src/network.rs
+++ b/crates/sim/src/network.rs
@@ -1,4 +1,4 @@
-//! The network between zones and machines.
+//! The simulated network between zones and machines.
 
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
@@ -6,22 +6,23 @@
 use stackpost_types::{MachineName, ZoneName};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What is cut off from what.
+/// A network partition.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Cut {
-    /// A zone from all others.
+    /// Isolates a zone from all others.
     Zone(ZoneName),
-    /// A group of zones from the rest.
+    /// Isolates a group of zones from the others.
     Region(BTreeSet<ZoneName>),
-    /// Messages into a zone are lost, those out of it arrive.
+    /// Drops messages into a zone; messages out of it are delivered.
     IntoZone(ZoneName),
-    /// One machine from all others.
+    /// Isolates one machine from all others.
     Machine(MachineName),
-    /// A control replica from everyone, while the router beside it is reached.
+    /// Isolates a control replica from all processes; the router on the same machine stays
+    /// reachable.
     Replica(MachineName),
 }
 
-/// Bytes of message content sent since the count was taken last, before headers of any kind.
+/// Bytes of message bodies sent since the counters were last taken, without any headers.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Traffic {
     /// From routers to routers.
@@ -49,49 +50,49 @@
     }
 }
 
-/// Delays and faults of messages.
+/// Delays, losses and duplicates of messages.
 #[derive(Debug)]
 pub struct Network {
     zones: BTreeMap<MachineName, ZoneName>,
     zone_delay: u64,
-    /// What is cut now.
-    pub cuts: Vec<Cut>,
-    /// Messages lost, in thousandths.
+    /// Partitions in force.
+    pub partitions: Vec<Cut>,
+    /// Share of messages that are lost, in thousandths.
     pub drop_permille: u32,
-    /// Messages that arrive twice, in thousandths.
+    /// Share of messages that are delivered twice, in thousandths.
     pub duplicate_permille: u32,
-    /// Messages that are much delayed, in thousandths.
+    /// Share of messages that get an extra delay, in thousandths.
     pub late_permille: u32,
 }
 
-/// Longest extra delay of a late message, in milliseconds.
-const LATEST: u64 = 800;
+/// Longest extra delay of a late message.
+const MAX_LATE_DELAY_MS: u64 = 800;
 
 impl Network {
     pub fn new(zones: BTreeMap<MachineName, ZoneName>, zone_delay: u64) -> Self {
         Self {
             zones,
             zone_delay,
-            cuts: Vec::new(),
+            partitions: Vec::new(),
             drop_permille: 0,
             duplicate_permille: 0,
             late_permille: 0,
         }
     }
 
-    /// Delays after which a message arrives: none if it is lost, two if it is duplicated.
+    /// Delays after which a message is delivered: none if it is lost, two if it is duplicated.
     pub fn delays(&self, rng: &mut ChaCha8Rng, from: &Peer, to: &Peer) -> Vec<u64> {
-        if self.is_cut(from, to) || self.hits(rng, self.drop_permille) {
+        if self.is_partitioned(from, to) || self.occurs(rng, self.drop_permille) {
             return Vec::new();
         }
-        let copies = if self.hits(rng, self.duplicate_permille) { 2 } else { 1 };
+        let copies = if self.occurs(rng, self.duplicate_permille) { 2 } else { 1 };
         (0..copies).map(|_| self.delay(rng, from, to)).collect()
     }
 
-    /// Whether two zones can't reach one another in this direction.
-    pub fn zones_cut(&self, from: &ZoneName, to: &ZoneName) -> bool {
+    /// Whether messages from one zone to the other are dropped.
+    pub fn zones_partitioned(&self, from: &ZoneName, to: &ZoneName) -> bool {
         from != to
-            && self.cuts.iter().any(|cut| match cut {
+            && self.partitions.iter().any(|cut| match cut {
                 Cut::Zone(zone) => from == zone || to == zone,
                 Cut::Region(zones) => zones.contains(from) != zones.contains(to),
                 Cut::IntoZone(zone) => to == zone,
@@ -99,33 +100,37 @@
             })
     }
 
-    fn is_cut(&self, from: &Peer, to: &Peer) -> bool {
+    fn is_partitioned(&self, from: &Peer, to: &Peer) -> bool {
         let same_machine = from.machine() == to.machine();
-        let zone_cut = match (self.zones.get(from.machine()), self.zones.get(to.machine())) {
-            (Some(from), Some(to)) => self.zones_cut(from, to),
+        let zone_partitioned = match (self.zones.get(from.machine()), self.zones.get(to.machine()))
+        {
+            (Some(from), Some(to)) => self.zones_partitioned(from, to),
             _ => false,
         };
         let replica = |peer: &Peer, machine: &MachineName| matches!(peer, Peer::Control(name) if name == machine);
-        let single = self.cuts.iter().any(|cut| match cut {
+        let machine_partitioned = self.partitions.iter().any(|cut| match cut {
             Cut::Machine(machine) => {
                 !same_machine && (from.machine() == machine || to.machine() == machine)
             }
             Cut::Replica(machine) => replica(from, machine) || replica(to, machine),
             _ => false,
         });
-        zone_cut || single
+        zone_partitioned || machine_partitioned
     }
 
     fn delay(&self, rng: &mut ChaCha8Rng, from: &Peer, to: &Peer) -> u64 {
         let across = self.zones.get(from.machine()) != self.zones.get(to.machine());
         let base = if across { self.zone_delay } else { 0 };
         let jitter = rng.random_range(0..=1);
-        let late =
-            if self.hits(rng, self.late_permille) { rng.random_range(1..=LATEST) } else { 0 };
+        let late = if self.occurs(rng, self.late_permille) {
+            rng.random_range(1..=MAX_LATE_DELAY_MS)
+        } else {
+            0
+        };
         base + jitter + late
     }
 
-    fn hits(&self, rng: &mut ChaCha8Rng, permille: u32) -> bool {
+    fn occurs(&self, rng: &mut ChaCha8Rng, permille: u32) -> bool {
         permille > 0 && rng.random_range(0..1_000) < permille
     }
 }
--- a/crates/sim/src/process.rs
+++ b/crates/sim/src/process.rs
@@ -7,7 +7,7 @@
 use stackpost_types::{Incarnation, MachineName, NodeId, Timestamp, Version, ZoneName};
 use std::fmt;
 
-/// A process.
+/// Identifies a process.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ProcessId {
     /// The router of a machine.
@@ -17,7 +17,7 @@
 }
 
 impl ProcessId {
-    /// The process behind a peer.
+    /// The process of a peer, whatever its incarnation.
     pub fn of(peer: &Peer) -> Self {
         match peer {
             Peer::Router(node) => Self::Router(node.machine.clone()),
@@ -42,24 +42,24 @@
     }
 }
 
-/// A router process, alive or not.
+/// A router process, running or not.
 #[derive(Debug)]
 pub struct RouterProcess {
     pub zone: ZoneName,
     pub router: Option<Router>,
-    /// Lives so far.
-    pub lives: u64,
+    /// Number of the current or latest incarnation.
+    pub incarnation: u64,
     pub frozen: bool,
     pub draining: bool,
-    /// Start of its monotonic clock against the simulation's.
+    /// Offset of its monotonic clock from the simulation's, in milliseconds.
     pub clock_offset: u64,
-    /// Newest configuration that was ever in force on this machine.
+    /// Newest configuration version that was ever in force on this machine.
     pub newest_version: Version,
 }
 
 impl RouterProcess {
     pub fn node(&self, machine: &MachineName) -> NodeId {
-        NodeId { machine: machine.clone(), incarnation: Incarnation(self.lives) }
+        NodeId { machine: machine.clone(), incarnation: Incarnation(self.incarnation) }
     }
 
     pub fn config(
@@ -81,7 +81,7 @@
     }
 }
 
-/// A control replica's process, alive or not, and its disks.
+/// A control replica's process, running or not, and its disks.
 #[derive(Debug)]
 pub struct ReplicaProcess {
     pub zone: ZoneName,
@@ -91,7 +91,7 @@
     pub starts: u64,
     pub frozen: bool,
     pub clock_offset: u64,
-    /// Newest entry it had applied when it last stopped or was looked at.
+    /// Version of its table when it last stopped.
     pub newest_version: Version,
 }
 
--- a/crates/sim/src/step.rs
+++ b/crates/sim/src/step.rs
@@ -1,10 +1,11 @@
-//! The steps of a request, a transfer, an edit and a change of views at which a fault may strike.
+//! Steps of a request, a budget transfer, an edit and a change of backups or leaders, at which a
+//! fault can be injected.
 
 use stackpost_ledger::{MirrorMessage, Record};
 use stackpost_protocol::Message;
 use stackpost_router_core::Effect;
 
-/// A step.
+/// A step at which a fault can be injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[allow(missing_docs)]
 pub enum Step {
@@ -30,7 +31,7 @@
     EntriesOnTheWay,
     EntriesAcknowledged,
     ConfigurationPushed,
-    // Of a change of views or leaders.
+    // Of a change of backups or leaders.
     BaseCopied,
     BackupRequested,
     VoteAsked,
@@ -38,7 +39,7 @@
 }
 
 impl Step {
-    /// Every step, in the order of the matrix's columns.
+    /// Every step, in the order of the columns of the fault matrix.
     pub const ALL: [Self; 23] = [
         Self::KeyAsked,
         Self::KeyGranted,
@@ -65,7 +66,7 @@
         Self::VoteGiven,
     ];
 
-    /// The steps that a message between processes stands for.
+    /// The steps that sending a message between processes represents.
     pub fn of_message(message: &Message) -> Vec<Self> {
         use stackpost_consensus::Message as Raft;
         match message {
@@ -94,7 +95,7 @@
         }
     }
 
-    /// The step that an effect of a router other than a message stands for.
+    /// The step that an effect of a router, other than sending a message, represents.
     pub fn of_effect(effect: &Effect) -> Option<Self> {
         match effect {
             Effect::Dispatch(_) => Some(Self::Dispatched),
--- a/crates/sim/src/world.rs
+++ b/crates/sim/src/world.rs
@@ -1,8 +1,8 @@
-//! The fleet, its surroundings and the scheduler.
+//! The simulated fleet, its environment and the scheduler.
 
 use crate::callers::*;
 use crate::engines::{Engines, SimBackEnd};
-use crate::fault::{Fault, Trap};
+use crate::fault::{Fault, StepTrigger};
 use crate::fleet::FleetShape;
 use crate::history::History;
 use crate::network::{Cut, Network, Traffic};
@@ -20,26 +20,26 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-/// Longest time that a fleet may take to start.
-const BOOT_TIMEOUT: u64 = 120_000;
+/// Longest time that a fleet may take to become ready.
+const BOOT_TIMEOUT_MS: u64 = 120_000;
 
-/// A deliberate fault of the software, to see that the checks notice.
+/// Deliberate defects of the software, which test that the checks detect them.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Defect {
-    /// Faults of routers.
+    /// Defects of routers.
     pub router: Defects,
-    /// Faults of control replicas.
+    /// Defects of control replicas.
     pub control: ControlDefects,
-    /// Disks report syncs that they did not do.
+    /// Disks report writes as synced that are not.
     pub ignore_sync: bool,
 }
 
-/// Something that will happen.
+/// A scheduled event.
 #[derive(Clone, Debug)]
 pub(crate) enum Action {
     Tick {
         process: ProcessId,
-        life: u64,
+        incarnation: u64,
     },
     Deliver {
         from: Peer,
@@ -76,23 +76,23 @@
         request: RequestId,
         usage: Option<Usage>,
     },
-    CallerTries(CallerId),
+    SendCallerAttempt(CallerId),
     PlatformRead {
         machine: MachineName,
-        life: u64,
+        incarnation: u64,
     },
     SendEdit(usize),
-    EditArrives {
+    ReceiveEdit {
         replica: MachineName,
         index: usize,
     },
     Thaw(ProcessId),
     Start(ProcessId),
-    /// A control machine loses power and comes back a while later.
+    /// A control machine loses power and restarts after 1 s.
     PowerLoss(MachineName),
     Arrival,
     Heal,
-    Strike {
+    Inject {
         fault: Fault,
         at: Option<ProcessId>,
     },
@@ -122,14 +122,14 @@
     }
 }
 
-/// The fleet and its surroundings.
+/// The simulated fleet with its callers, back ends, operators and network.
 #[derive(Debug)]
 pub struct World {
     /// The fleet.
     pub shape: FleetShape,
-    /// Time in milliseconds.
+    /// Virtual time, in milliseconds.
     pub now: u64,
-    /// What happened.
+    /// The history of the run.
     pub history: History,
     /// The callers.
     pub callers: Callers,
@@ -137,18 +137,19 @@
     pub engines: Engines,
     /// The operators' edits.
     pub edits: Vec<EditRecord>,
-    /// Wrongs that can be seen at once, such as a configuration that went back.
-    pub wrongs: Vec<String>,
+    /// Violations detected during the run, such as a configuration version that went back.
+    pub immediate_violations: Vec<String>,
     pub(crate) rng: ChaCha8Rng,
     pub(crate) network: Network,
     pub(crate) routers: BTreeMap<MachineName, RouterProcess>,
     pub(crate) replicas: BTreeMap<MachineName, ReplicaProcess>,
-    pub(crate) trap: Option<Trap>,
+    pub(crate) step_trigger: Option<StepTrigger>,
     pub(crate) wall_jump: u64,
     pub(crate) defect: Defect,
     pub(crate) platform: BTreeMap<BackEndName, Vec<(u64, bool)>>,
     pub(crate) platform_extra_lag: u64,
-    pub(crate) held: BTreeMap<ProcessId, Vec<Action>>,
+    /// Actions for frozen processes, performed when they thaw.
+    pub(crate) deferred_actions: BTreeMap<ProcessId, Vec<Action>>,
     pub(crate) traffic: Option<Traffic>,
     queue: BinaryHeap<Reverse<Scheduled>>,
     order: u64,
@@ -160,7 +161,7 @@
 }
 
 impl World {
-    /// A fleet that is about to start.
+    /// Creates a fleet; [`boot`](Self::boot) starts it.
     pub fn new(shape: FleetShape, seed: u64, defect: Defect, keep_history: bool) -> Self {
         let zones: BTreeMap<MachineName, ZoneName> = shape.machines().into_iter().collect();
         let mut world = Self {
@@ -170,16 +171,16 @@
             callers: Callers::default(),
             engines: Engines::default(),
             edits: Vec::new(),
-            wrongs: Vec::new(),
+            immediate_violations: Vec::new(),
             rng: ChaCha8Rng::seed_from_u64(seed),
             routers: BTreeMap::new(),
             replicas: BTreeMap::new(),
-            trap: None,
+            step_trigger: None,
             wall_jump: 0,
             defect,
             platform: BTreeMap::new(),
             platform_extra_lag: 0,
-            held: BTreeMap::new(),
+            deferred_actions: BTreeMap::new(),
             traffic: None,
             queue: BinaryHeap::new(),
             order: 0,
@@ -200,9 +201,9 @@
                 zone,
                 service,
                 alive: true,
-                dies_at: None,
+                crashes_at: None,
                 leaving_since: None,
-                working: BTreeMap::new(),
+                in_progress: BTreeMap::new(),
             };
             self.engines.back_ends.insert(name, back_end);
         }
@@ -218,7 +219,8 @@
                 newest_version: Version(0),
             };
             process.disk.ignore_sync(self.defect.ignore_sync);
-            Replica::initialize(process.disk.clone()).expect("memory does not fail");
+            Replica::initialize(process.disk.clone())
+                .expect("an in-memory disk can be initialized");
             self.replicas.insert(machine.clone(), process);
             self.schedule(0, Action::Start(ProcessId::Replica(machine)));
         }
@@ -226,7 +228,7 @@
             let process = RouterProcess {
                 zone,
                 router: None,
-                lives: 0,
+                incarnation: 0,
                 frozen: false,
                 draining: false,
                 clock_offset: self.rng.random_range(1_000..100_000),
@@ -236,13 +238,13 @@
         }
     }
 
-    /// Lets wishes arrive from now until `until`.
+    /// Adds callers of `workload` from now until `until`.
     pub fn start_workload(&mut self, workload: Workload, until: u64) {
         self.workload = Some((workload, until));
         self.schedule(0, Action::Arrival);
     }
 
-    /// Lets time pass until `until`.
+    /// Performs all actions due up to the time `until`.
     pub fn run_until(&mut self, until: u64) {
         while let Some(Reverse(next)) = self.queue.peek() {
             if next.at > until {
@@ -255,7 +257,7 @@
         self.now = until;
     }
 
-    /// Lets the first table be written and the routers become ready.
+    /// Writes the initial table and runs until every router is ready.
     pub fn boot(&mut self) {
         while self.leader().is_none() {
             self.run_until(self.now + 20);
@@ -265,78 +267,79 @@
             let first_replica = self.leader();
             self.plan_edit(PlannedEdit { key, row, based_on, first_replica });
         }
-        while !self.edits.iter().all(|edit| edit.settled) && self.now < BOOT_TIMEOUT {
+        while !self.edits.iter().all(|edit| edit.settled) && self.now < BOOT_TIMEOUT_MS {
             self.run_until(self.now + 50);
         }
         for machine in self.routers.keys().cloned().collect::<Vec<_>>() {
             self.schedule(0, Action::Start(ProcessId::Router(machine)));
         }
-        while !self.is_ready() && self.now < BOOT_TIMEOUT {
+        while !self.is_ready() && self.now < BOOT_TIMEOUT_MS {
             self.run_until(self.now + 100);
         }
-        assert!(self.is_ready(), "the fleet does not start: {}", self.history.text());
+        assert!(self.is_ready(), "the fleet did not become ready: {}", self.history.text());
     }
 
-    /// Whether every edit is settled and every router takes requests.
+    /// Whether every edit is settled and every router accepts requests.
     pub fn is_ready(&self) -> bool {
         let edits_done = self.edits.iter().all(|edit| edit.settled);
         let ready = |process: &RouterProcess| process.router.as_ref().is_some_and(Router::is_ready);
         edits_done && self.routers.values().all(ready)
     }
 
-    /// The live routers.
+    /// The running routers.
     pub fn live_routers(&self) -> impl Iterator<Item = (&MachineName, &Router)> {
         self.routers.iter().filter_map(|(name, process)| Some((name, process.router.as_ref()?)))
     }
 
-    /// The live control replicas.
+    /// The running control replicas.
     pub fn live_replicas(&self) -> impl Iterator<Item = (&MachineName, &Replica<MemoryDisk>)> {
         self.replicas.iter().filter_map(|(name, process)| Some((name, process.replica.as_ref()?)))
     }
 
-    /// The replica that leads with a lease.
+    /// The leader that holds a lease, if there is one.
     pub fn leader(&self) -> Option<MachineName> {
         let leading = self.live_replicas().find(|(_, replica)| replica.status().has_lease);
         leading.map(|(name, _)| name.clone())
     }
 
-    /// Lets `fault` strike when `step` is seen for the `occurrence`-th time from now on.
-    pub fn set_trap(&mut self, fault: Fault, step: Step, occurrence: u32) {
-        self.trap = Some(Trap { fault, step, left: occurrence, struck_at: None });
+    /// Injects `fault` when `step` is taken for the `occurrence`-th time from now on.
+    pub fn inject_at_step(&mut self, fault: Fault, step: Step, occurrence: u32) {
+        self.step_trigger =
+            Some(StepTrigger { fault, step, remaining: occurrence, injected_at: None });
     }
 
-    /// When the trap went off.
-    pub fn struck_at(&self) -> Option<u64> {
-        self.trap.as_ref().and_then(|trap| trap.struck_at)
+    /// When the fault of [`inject_at_step`](Self::inject_at_step) was injected, if it was.
+    pub fn injected_at(&self) -> Option<u64> {
+        self.step_trigger.as_ref().and_then(|step_trigger| step_trigger.injected_at)
     }
 
-    /// Lets `fault` strike after `delay` milliseconds.
-    pub fn strike_after(&mut self, delay: u64, fault: Fault) {
-        self.schedule(delay, Action::Strike { fault, at: None });
+    /// Injects `fault` after `delay` milliseconds.
+    pub fn inject_after(&mut self, delay: u64, fault: Fault) {
+        self.schedule(delay, Action::Inject { fault, at: None });
     }
 
-    /// Bytes sent since this was called last; counting begins with the first call.
+    /// Traffic since the previous call; counting starts with the first call.
     pub fn take_traffic(&mut self) -> Traffic {
         self.traffic.replace(Traffic::default()).unwrap_or_default()
     }
 
-    /// Cuts a part of the network.
+    /// Partitions the network.
     pub fn cut(&mut self, cut: Cut) {
-        self.history.note(self.now, "network", format!("cut {cut:?}"));
-        self.network.cuts.push(cut);
+        self.history.note(self.now, "network", format!("partitioned: {cut:?}"));
+        self.network.partitions.push(cut);
     }
 
-    /// Ends all cuts, thaws and restarts everything, and makes messages arrive.
+    /// Ends all partitions and network faults, and thaws or restarts every process and back end.
     pub fn heal(&mut self) {
         self.history.note(self.now, "network", "healed");
-        self.network.cuts.clear();
+        self.network.partitions.clear();
         self.network.drop_permille = 0;
         self.network.duplicate_permille = 0;
         self.network.late_permille = 0;
         self.platform_extra_lag = 0;
         for back_end in self.engines.back_ends.values_mut() {
             back_end.alive = true;
-            back_end.dies_at = None;
+            back_end.crashes_at = None;
         }
         let routers: Vec<ProcessId> = self.routers.keys().cloned().map(ProcessId::Router).collect();
         let replicas: Vec<ProcessId> =
@@ -361,13 +364,13 @@
 
     pub(crate) fn perform(&mut self, action: Action) {
         if let Some(process) = self.frozen_target(&action) {
-            self.held.entry(process).or_default().push(action);
+            self.deferred_actions.entry(process).or_default().push(action);
             return;
         }
         match action {
-            Action::Tick { process, life } => self.tick(&process, life),
+            Action::Tick { process, incarnation } => self.tick(&process, incarnation),
             Action::Deliver { from, to, message } => self.deliver(from, &to, *message),
-            Action::Call { node, call } => self.call_arrives(&node, *call),
+            Action::Call { node, call } => self.receive_call(&node, *call),
             Action::CallerGone { node, call } => self.router_event(&node, Event::CallerGone(call)),
             Action::Attempt { node, dispatch } => self.attempt(node, *dispatch),
             Action::AttemptDone { node, call, number, back_end } => {
@@ -375,7 +378,7 @@
             }
             Action::Report { node, call, number, outcome } => {
                 if matches!(*outcome, AttemptOutcome::Answered { .. }) {
-                    self.see(Step::Answered, &Peer::Router(node.clone()));
+                    self.observe_step(Step::Answered, &Peer::Router(node.clone()));
                 }
                 let event = Event::Attempt { call, number, outcome: *outcome };
                 self.router_event(&node, event);
@@ -383,10 +386,12 @@
             Action::UsageAnswer { node, account, request, usage } => {
                 self.router_event(&node, Event::UsageReceived { account, request, usage });
             }
-            Action::CallerTries(caller) => self.caller_tries(caller),
-            Action::PlatformRead { machine, life } => self.platform_read(&machine, life),
+            Action::SendCallerAttempt(caller) => self.send_caller_attempt(caller),
+            Action::PlatformRead { machine, incarnation } => {
+                self.platform_read(&machine, incarnation)
+            }
             Action::SendEdit(index) => self.send_edit(index),
-            Action::EditArrives { replica, index } => self.edit_arrives(&replica, index),
+            Action::ReceiveEdit { replica, index } => self.receive_edit(&replica, index),
             Action::Thaw(process) => self.thaw(&process),
             Action::Start(process) => self.start(&process),
             Action::PowerLoss(machine) => {
@@ -395,7 +400,7 @@
             }
             Action::Arrival => self.arrival(),
             Action::Heal => self.heal(),
-            Action::Strike { fault, at } => self.strike(fault, at),
+            Action::Inject { fault, at } => self.inject(fault, at),
         }
     }
 
@@ -409,7 +414,7 @@
             | Action::Report { node, .. }
             | Action::UsageAnswer { node, .. } => ProcessId::Router(node.machine.clone()),
             Action::PlatformRead { machine, .. } => ProcessId::Router(machine.clone()),
-            Action::EditArrives { replica, .. } => ProcessId::Replica(replica.clone()),
+            Action::ReceiveEdit { replica, .. } => ProcessId::Replica(replica.clone()),
             _ => return None,
         };
         self.is_frozen(&process).then_some(process)
@@ -417,8 +422,10 @@
 
     pub(crate) fn is_frozen(&self, process: &ProcessId) -> bool {
         match process {
-            ProcessId::Router(name) => self.routers.get(name).is_some_and(|held| held.frozen),
-            ProcessId::Replica(name) => self.replicas.get(name).is_some_and(|held| held.frozen),
+            ProcessId::Router(name) => self.routers.get(name).is_some_and(|process| process.frozen),
+            ProcessId::Replica(name) => {
+                self.replicas.get(name).is_some_and(|process| process.frozen)
+            }
         }
     }
 }
--- a/crates/sim/tests/defects.rs
+++ b/crates/sim/tests/defects.rs
@@ -1,4 +1,5 @@
-//! The checks themselves can fail: for each promise a deliberate defect turns the matrix red.
+//! Verifies the checks: for each invariant, a deliberate defect of the software is detected in some
+//! run of the fault matrix.
 
 mod support;
 
@@ -6,11 +7,11 @@
 use stackpost_sim::{Defect, Fault, Promise, Step};
 use support::{Cell, in_parallel, run_cell};
 
-/// Seeds tried for each pair of fault and step.
+/// Seeds run for each pair of fault and step.
 const SEEDS: u64 = 8;
 
-/// Whether some run with `defect` breaks `promise`.
-fn turns_red(defect: Defect, faults: &[(Fault, Step)], promise: Promise) -> bool {
+/// Whether some run with `defect` violates `promise`.
+fn violates(defect: Defect, faults: &[(Fault, Step)], promise: Promise) -> bool {
     let mut cells = Vec::new();
     for (fault, step) in faults {
         for seed in 0..SEEDS {
@@ -25,22 +26,23 @@
     Defect { router: defects, ..Defect::default() }
 }
 
-const QUIET: [(Fault, Step); 1] = [(Fault::ClockJump, Step::FirstBytes)];
+/// A fault that disturbs the fleet little, for defects that show without any fault.
+const CLOCK_JUMP: [(Fault, Step); 1] = [(Fault::ClockJump, Step::FirstBytes)];
 
 #[test]
-fn spending_without_reserving_is_noticed() {
+fn spending_without_reserving_is_detected() {
     let defect = router(Defects { skip_reserve: true, ..Defects::default() });
-    assert!(turns_red(defect, &QUIET, Promise::NoOverspend));
+    assert!(violates(defect, &CLOCK_JUMP, Promise::NoOverspend));
 }
 
 #[test]
-fn a_second_bill_is_noticed() {
+fn a_second_bill_for_a_request_is_detected() {
     let defect = router(Defects { bill_twice: true, ..Defects::default() });
-    assert!(turns_red(defect, &QUIET, Promise::BilledOnce));
+    assert!(violates(defect, &CLOCK_JUMP, Promise::BilledOnce));
 }
 
 #[test]
-fn effects_before_the_backup_holds_them_are_noticed() {
+fn effects_before_the_backup_acknowledges_are_detected() {
     let defect = router(Defects { skip_mirror: true, ..Defects::default() });
     let faults = [
         (Fault::RouterKilled, Step::Finished),
@@ -48,49 +50,49 @@
         (Fault::ZoneCutOff, Step::FirstBytes),
         (Fault::RouterFrozen, Step::IntentMirrored),
     ];
-    assert!(turns_red(defect, &faults, Promise::BilledOnce));
+    assert!(violates(defect, &faults, Promise::BilledOnce));
 }
 
 #[test]
-fn a_crossed_answer_is_noticed() {
+fn a_response_sent_to_the_wrong_caller_is_detected() {
     let defect = router(Defects { swap_answers: true, ..Defects::default() });
-    assert!(turns_red(defect, &QUIET, Promise::OwnWholeAnswer));
+    assert!(violates(defect, &CLOCK_JUMP, Promise::OwnCompleteAnswer));
 }
 
 #[test]
-fn a_false_not_run_is_noticed() {
+fn a_false_not_run_outcome_is_detected() {
     let defect = router(Defects { claim_not_run: true, ..Defects::default() });
     let faults = [
         (Fault::EngineDiesDuring, Step::Dispatched),
         (Fault::RouterKilled, Step::KeyAsked),
         (Fault::RouterFrozen, Step::Dispatched),
     ];
-    assert!(turns_red(defect, &faults, Promise::NotRunMeansNotRun));
+    assert!(violates(defect, &faults, Promise::NotRunNeverExecuted));
 }
 
 #[test]
-fn a_second_run_of_a_request_that_must_not_repeat_is_noticed() {
+fn a_second_run_of_a_non_idempotent_request_is_detected() {
     let defect = router(Defects { retry_after_send: true, ..Defects::default() });
     let faults = [(Fault::EngineDiesDuring, Step::Dispatched)];
-    assert!(turns_red(defect, &faults, Promise::AtMostOnce));
+    assert!(violates(defect, &faults, Promise::AtMostOnce));
 }
 
 #[test]
-fn work_for_a_back_end_that_is_leaving_is_noticed() {
+fn requests_to_a_leaving_back_end_are_detected() {
     let defect = router(Defects { ignore_leaving: true, ..Defects::default() });
     let faults = [(Fault::EngineLeaves, Step::Dispatched)];
-    assert!(turns_red(defect, &faults, Promise::LeavingGetsNothingNew));
+    assert!(violates(defect, &faults, Promise::NoNewWorkWhenLeaving));
 }
 
 #[test]
-fn a_stop_that_cuts_requests_off_is_noticed() {
+fn a_planned_stop_that_interrupts_requests_is_detected() {
     let defect = router(Defects { drain_at_once: true, ..Defects::default() });
     let faults = [(Fault::PlannedStop, Step::Dispatched), (Fault::PlannedStop, Step::FirstBytes)];
-    assert!(turns_red(defect, &faults, Promise::PlannedStopCutsNothing));
+    assert!(violates(defect, &faults, Promise::PlannedStopInterruptsNothing));
 }
 
 #[test]
-fn a_configuration_that_goes_back_is_noticed() {
+fn a_configuration_version_that_goes_back_is_detected() {
     let defect = router(Defects { accept_old_configuration: true, ..Defects::default() });
     let faults = [
         (Fault::BadNetwork, Step::ConfigurationPushed),
@@ -99,15 +101,15 @@
         (Fault::RouterFrozen, Step::ConfigurationPushed),
         (Fault::LeaderCutOffSilently, Step::ConfigurationPushed),
     ];
-    assert!(turns_red(defect, &faults, Promise::ConfigurationInForce));
+    assert!(violates(defect, &faults, Promise::ConfigurationInForce));
 }
 
 #[test]
-fn an_edit_that_was_never_synced_is_noticed() {
+fn an_accepted_edit_that_was_not_synced_is_detected() {
     let defect = Defect { ignore_sync: true, ..Defect::default() };
     let faults = [
         (Fault::RestartAfterManyEdits, Step::EditProposed),
         (Fault::LeaderKilled, Step::EntriesAcknowledged),
     ];
-    assert!(turns_red(defect, &faults, Promise::ConfigurationInForce));
+    assert!(violates(defect, &faults, Promise::ConfigurationInForce));
 }
--- a/crates/sim/tests/golden.rs
+++ b/crates/sim/tests/golden.rs
@@ -1,6 +1,6 @@
-//! Golden sessions: whole sessions of callers, operators and faults as text, compared with the
-//! files beside this test. A change of behaviour shows as a diff; `STACKPOST_UPDATE=1` writes the
-//! files anew.
+//! Golden sessions: histories of whole sessions with callers, operators and faults, compared with
+//! the files in `tests/golden`. A change of behaviour shows as a diff; `STACKPOST_UPDATE=1`
+//! rewrites the files.
 
 use stackpost_sim::{
     AttemptEnd, CallerRecord, Defect, Fault, FleetShape, RequestPlan, World, check,
@@ -23,18 +23,18 @@
 };
 const TICKET: RequestPlan = RequestPlan { plain: true, repeatable: false, keyed: true, ..CHAT };
 
-/// One session of a fleet, told in five scenes.
+/// Runs one session of a fleet in five phases and returns its text.
 fn session(shape: FleetShape, seed: u64) -> String {
     let mut world = World::new(shape, seed, Defect::default(), true);
     world.boot();
     let zones = world.shape.zones.len();
-    scene(&mut world, "one request of each kind in every zone", |world| {
+    phase(&mut world, "one request of each kind in every zone", |world| {
         for zone in 0..zones {
             world.add_caller(RequestPlan { zone, ..CHAT });
             world.add_caller(RequestPlan { zone, tenant: 1, ..TICKET });
         }
     });
-    scene(&mut world, "a budget that runs out", |world| {
+    phase(&mut world, "a budget that runs out", |world| {
         for zone in 0..zones {
             for _ in 0..5 {
                 world.add_caller(RequestPlan {
@@ -47,45 +47,45 @@
             }
         }
     });
-    scene(&mut world, "a router dies; its callers try again", |world| {
+    phase(&mut world, "a router is killed; its callers retry", |world| {
         for _ in 0..3 {
             world.add_caller(RequestPlan { keyed: true, tokens: 300, max_tokens: 300, ..CHAT });
             world.add_caller(TICKET);
         }
-        world.strike_after(30, Fault::RouterKilled);
+        world.inject_after(30, Fault::RouterKilled);
     });
-    scene(&mut world, "two operators race; a zone is cut off", |world| {
-        world.strike_after(0, Fault::RacingEdits);
-        world.strike_after(100, Fault::ZoneCutOff);
+    phase(&mut world, "two operators edit concurrently; a zone is isolated", |world| {
+        world.inject_after(0, Fault::RacingEdits);
+        world.inject_after(100, Fault::ZoneCutOff);
         for zone in 0..zones {
             world.add_caller(RequestPlan { zone, tenant: 2, keyed: true, ..CHAT });
         }
     });
-    scene(&mut world, "a lowered limit, and a planned stop", |world| {
+    phase(&mut world, "a lowered limit, and a planned stop", |world| {
         let limit = Tokens(10_000);
         let key = RowKey::Budget(BudgetName::new("tenant-1"));
         world.edit(key, Some(Row::Budget(BudgetRow { limit })));
         world.add_caller(RequestPlan { tokens: 500, max_tokens: 500, ..CHAT });
-        world.strike_after(50, Fault::PlannedStop);
+        world.inject_after(50, Fault::PlannedStop);
     });
     world.heal();
     world.run_until(world.now + 15_000);
     assert_eq!(check(&world), Vec::new());
     let mut text = world.history.text();
-    text.push_str("\n== what each caller got, and why\n");
+    text.push_str("\n== outcomes of all callers, with the routers' traces\n");
     for record in world.callers.records.values() {
-        tell(&mut text, &world, record);
+        write_caller(&mut text, &world, record);
     }
     text
 }
 
-fn scene(world: &mut World, title: &str, play: impl FnOnce(&mut World)) {
+fn phase(world: &mut World, title: &str, start: impl FnOnce(&mut World)) {
     world.history.note(world.now, "==", title);
-    play(world);
+    start(world);
     world.run_until(world.now + 16_000);
 }
 
-fn tell(text: &mut String, world: &World, record: &CallerRecord) {
+fn write_caller(text: &mut String, world: &World, record: &CallerRecord) {
     for attempt in &record.attempts {
         let end = match &attempt.end {
             Some((_, AttemptEnd::Answered { .. })) => "answered".to_string(),
@@ -93,7 +93,7 @@
                 format!("refused: {} ({})", refusal.reason, refusal.outcome.as_str())
             }
             Some((_, AttemptEnd::Lost { .. })) => "connection lost".to_string(),
-            Some((_, AttemptEnd::Left)) => "went away".to_string(),
+            Some((_, AttemptEnd::Disconnected)) => "disconnected".to_string(),
             None => "no end".to_string(),
         };
         text.push_str(&format!("caller {} at {}: {end}\n", record.id.0, attempt.node));
@@ -109,24 +109,24 @@
 fn compare(name: &str, text: &str) {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name);
     if std::env::var_os("STACKPOST_UPDATE").is_some() {
-        std::fs::write(&path, text).expect("written");
+        std::fs::write(&path, text).expect("the golden file is writable");
     }
-    let held = std::fs::read_to_string(&path).unwrap_or_default();
-    let differing = held.lines().zip(text.lines()).position(|(old, new)| old != new);
+    let expected = std::fs::read_to_string(&path).unwrap_or_default();
+    let differing = expected.lines().zip(text.lines()).position(|(old, new)| old != new);
     assert!(
-        held == text,
-        "{}: differs from line {:?} on; STACKPOST_UPDATE=1 writes it anew",
+        expected == text,
+        "{}: differs from line {:?} on; STACKPOST_UPDATE=1 rewrites it",
         path.display(),
         differing.map(|line| line + 1)
     );
 }
 
 #[test]
-fn the_lagos_session_is_as_written() {
+fn lagos_session_matches_golden_file() {
     compare("lagos.txt", &session(FleetShape::lagos(), 11));
 }
 
 #[test]
-fn the_bogota_session_is_as_written() {
+fn bogota_session_matches_golden_file() {
     compare("bogota.txt", &session(FleetShape::bogota(), 12));
 }
--- a/crates/sim/tests/matrix.rs
+++ b/crates/sim/tests/matrix.rs
@@ -1,11 +1,11 @@
-//! The fault matrix: every fault at every step, and pairs of faults.
+//! The fault matrix: every fault at every step, and random pairs of faults.
 
 mod support;
 
 use stackpost_sim::{Defect, Fault, Step};
 use support::{Cell, in_parallel, run_cell};
 
-/// Shifts all seeds, for longer searches by hand; CI uses none.
+/// Offset added to all seeds, for longer manual searches; CI sets none.
 fn seed_offset() -> u64 {
     let offset = std::env::var("STACKPOST_SEED_OFFSET").ok();
     offset.and_then(|text| text.parse().ok()).unwrap_or_default()
@@ -24,13 +24,13 @@
 }
 
 #[test]
-fn every_fault_at_every_step_keeps_every_promise() {
+fn every_fault_at_every_step_keeps_all_invariants() {
     let cells = cells();
     let outcomes = in_parallel(&cells, |cell| run_cell(*cell, Defect::default(), false));
     let mut report = String::new();
     for (cell, outcome) in cells.iter().zip(&outcomes) {
-        if !outcome.struck {
-            report.push_str(&format!("not struck: {cell:?}\n"));
+        if !outcome.injected {
+            report.push_str(&format!("fault not injected: {cell:?}\n"));
         }
         for violation in &outcome.violations {
             report.push_str(&format!("{cell:?}: {violation}\n"));
@@ -38,11 +38,12 @@
     }
     assert!(report.is_empty(), "{report}");
     if seed_offset() == 0 {
-        compare_page(&table(&cells));
+        compare_with_docs(&table(&cells));
     }
 }
 
-/// The matrix as a table: only called once every cell is proved.
+/// The matrix as a Markdown table. It marks every cell as passed, so it must be called only after
+/// all cells have passed.
 fn table(cells: &[Cell]) -> String {
     let mut text = String::from("Steps, by column:\n\n");
     for (number, step) in Step::ALL.iter().enumerate() {
@@ -60,26 +61,29 @@
     text
 }
 
-/// Compares the table with the one in docs/FAULTS.md; `STACKPOST_UPDATE=1` writes it anew.
-fn compare_page(table: &str) {
+/// Compares the table with the one in docs/FAULTS.md; `STACKPOST_UPDATE=1` rewrites it.
+fn compare_with_docs(table: &str) {
     const BEGIN: &str = "<!-- matrix: written by crates/sim/tests/matrix.rs -->\n";
     const END: &str = "<!-- end of matrix -->";
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/FAULTS.md");
-    let page = std::fs::read_to_string(path).expect("docs/FAULTS.md");
-    let (before, rest) = page.split_once(BEGIN).expect("the mark before the matrix");
-    let (held, after) = rest.split_once(END).expect("the mark after the matrix");
+    let page = std::fs::read_to_string(path).expect("docs/FAULTS.md can be read");
+    let (before, rest) =
+        page.split_once(BEGIN).expect("docs/FAULTS.md has the marker before the matrix");
+    let (current, after) =
+        rest.split_once(END).expect("docs/FAULTS.md has the marker after the matrix");
     if std::env::var_os("STACKPOST_UPDATE").is_some() {
-        std::fs::write(path, format!("{before}{BEGIN}{table}{END}{after}")).expect("written");
+        std::fs::write(path, format!("{before}{BEGIN}{table}{END}{after}"))
+            .expect("docs/FAULTS.md is writable");
     } else {
-        assert!(held == table, "docs/FAULTS.md is out of date: STACKPOST_UPDATE=1 writes it anew");
+        assert!(current == table, "docs/FAULTS.md is out of date: STACKPOST_UPDATE=1 rewrites it");
     }
 }
 
-/// Pairs of faults drawn by seed; set by the time that CI has.
+/// Number of fault pairs, drawn by seed; limited by the time available in CI.
 const PAIRS: u64 = 400;
 
 #[test]
-fn pairs_of_faults_keep_every_promise() {
+fn pairs_of_faults_keep_all_invariants() {
     let draw = |number: u64| {
         let seed = number + seed_offset();
         let pick = |salt: u64, count: usize| {
@@ -93,7 +97,7 @@
             seed: 10_000 + seed,
         }
     };
-    // Two of three data folders lost at once take the majority with them: see docs/FAULTS.md.
+    // Losing two of three data folders at once loses the majority: see docs/FAULTS.md.
     let survivable =
         |cell: &Cell| (cell.fault, cell.second) != (Fault::DiskLost, Some(Fault::DiskLost));
     let cells: Vec<Cell> = (0..PAIRS).map(draw).filter(survivable).collect();
--- a/crates/sim/tests/regressions.rs
+++ b/crates/sim/tests/regressions.rs
@@ -1,12 +1,12 @@
-//! Faults that were found, each by the run that showed it.
+//! Regression tests: cells of the fault matrix in which faults of the software were found.
 
 mod support;
 
 use stackpost_sim::{Defect, Fault, Step};
 use support::{Cell, in_parallel, run_cell};
 
-/// Cells that were red once; docs/FAULTS.md says what each had found.
-const FOUND: [Cell; 5] = [
+/// Cells that once failed; docs/FAULTS.md describes the fault that each one exposed.
+const PAST_FAILURES: [Cell; 5] = [
     cell(Fault::SecondMachineLostAfterRepair, Step::BillsSent, None, 54),
     cell(
         Fault::LaggingMachineList,
@@ -24,9 +24,9 @@
 }
 
 #[test]
-fn what_was_found_stays_mended() {
-    let outcomes = in_parallel(&FOUND, |cell| run_cell(*cell, Defect::default(), false));
-    for (cell, outcome) in FOUND.iter().zip(&outcomes) {
+fn cells_that_once_failed_keep_all_invariants() {
+    let outcomes = in_parallel(&PAST_FAILURES, |cell| run_cell(*cell, Defect::default(), false));
+    for (cell, outcome) in PAST_FAILURES.iter().zip(&outcomes) {
         assert!(outcome.violations.is_empty(), "{cell:?}: {:#?}", outcome.violations);
     }
 }
--- a/crates/sim/tests/smoke.rs
+++ b/crates/sim/tests/smoke.rs
@@ -1,4 +1,4 @@
-//! A fleet without faults keeps every promise, and one seed gives one history.
+//! Smoke tests: a fleet without faults keeps all invariants, and runs are deterministic.
 
 use stackpost_sim::{Defect, FleetShape, Workload, World, check};
 
@@ -14,18 +14,18 @@
 }
 
 #[test]
-fn a_fleet_without_faults_keeps_every_promise() {
+fn a_fleet_without_faults_keeps_all_invariants() {
     for shape in [FleetShape::lagos(), FleetShape::bogota()] {
         let world = run(shape, 1);
         let found = check(&world);
         assert!(found.is_empty(), "{found:#?}\n{}", world.history.text());
         let answered = world.callers.records.values().filter(|record| record.is_answered()).count();
-        assert!(answered > 100, "{answered} answered");
+        assert!(answered > 100, "only {answered} requests answered");
     }
 }
 
 #[test]
-fn one_seed_gives_one_history() {
+fn the_same_seed_gives_the_same_history() {
     let first = run(FleetShape::lagos(), 7).history.text();
     let second = run(FleetShape::lagos(), 7).history.text();
     assert_eq!(first, second);
--- a/crates/sim/tests/support/mod.rs
+++ b/crates/sim/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Runs of one cell of the fault matrix.
+//! Runs cells of the fault matrix.
 
 use stackpost_sim::{Defect, Fault, FleetShape, Step, Violation, Workload, World, check};
 use stackpost_table::{BudgetRow, Row, RowKey};
@@ -6,16 +6,16 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Mutex, PoisonError};
 
-/// How long callers keep coming, in milliseconds.
-const WORKLOAD: u64 = 12_000;
-/// How long a fault is left to itself before everything is healed.
-const FAULT_TIME: u64 = 25_000;
-/// How long the fleet has to come to rest.
-const REST: u64 = 15_000;
+/// Duration of the workload.
+const WORKLOAD_DURATION_MS: u64 = 12_000;
+/// Time between the end of the workload and the healing of all faults.
+const FAULT_DURATION_MS: u64 = 25_000;
+/// Time that the fleet has to settle after the healing.
+const SETTLE_TIME_MS: u64 = 15_000;
 /// Time between two edits.
-const EDIT_INTERVAL: u64 = 1_500;
+const EDIT_INTERVAL_MS: u64 = 1_500;
 
-/// One cell.
+/// One cell of the fault matrix: a fault at a step, with an optional second fault.
 #[derive(Clone, Copy, Debug)]
 pub struct Cell {
     pub fault: Fault,
@@ -24,16 +24,16 @@
     pub seed: u64,
 }
 
-/// What a cell's run showed.
+/// Result of the run of a cell.
 #[derive(Clone, Debug)]
 #[allow(dead_code, reason = "each test file uses some of the fields")]
 pub struct Outcome {
-    pub struck: bool,
+    pub injected: bool,
     pub violations: Vec<Violation>,
     pub history: String,
 }
 
-/// Runs one cell.
+/// Runs one cell: workload, faults, healing and checks.
 pub fn run_cell(cell: Cell, defect: Defect, keep_history: bool) -> Outcome {
     let shape =
         if cell.seed.is_multiple_of(2) { FleetShape::lagos() } else { FleetShape::bogota() };
@@ -41,32 +41,32 @@
     world.boot();
     let begin = world.now;
     let (zones, tenants) = (world.shape.zones.len(), world.shape.limits.len());
-    world.start_workload(Workload { per_second: 25, tenants, zones }, begin + WORKLOAD);
-    if let Some(first) = prelude(cell.step) {
-        world.strike_after(1_000, first);
+    world.start_workload(Workload { per_second: 25, tenants, zones }, begin + WORKLOAD_DURATION_MS);
+    if let Some(first) = preliminary_fault(cell.step) {
+        world.inject_after(1_000, first);
     }
     world.run_until(begin + 900);
-    world.set_trap(cell.fault, cell.step, occurrence(cell));
+    world.inject_at_step(cell.fault, cell.step, occurrence(cell));
     if let Some(second) = cell.second {
-        world.strike_after(3_500, second);
+        world.inject_after(3_500, second);
     }
-    for round in 1..=WORKLOAD / EDIT_INTERVAL {
-        world.run_until(begin + round * EDIT_INTERVAL);
+    for round in 1..=WORKLOAD_DURATION_MS / EDIT_INTERVAL_MS {
+        world.run_until(begin + round * EDIT_INTERVAL_MS);
         let limit = Tokens(41_000 + round);
         let key = RowKey::Budget(BudgetName::new(FleetShape::tenant(1)));
         world.edit(key, Some(Row::Budget(BudgetRow { limit })));
     }
-    world.run_until(begin + WORKLOAD + FAULT_TIME);
+    world.run_until(begin + WORKLOAD_DURATION_MS + FAULT_DURATION_MS);
     world.heal();
-    world.run_until(world.now + REST);
+    world.run_until(world.now + SETTLE_TIME_MS);
     Outcome {
-        struck: world.struck_at().is_some(),
+        injected: world.injected_at().is_some(),
         violations: check(&world),
         history: world.history.text(),
     }
 }
 
-/// Which occurrence of the step the fault strikes at; rare steps have only a first one.
+/// The occurrence of the step at which the fault is injected; rare steps occur only once.
 fn occurrence(cell: Cell) -> u32 {
     match cell.step {
         Step::VoteAsked | Step::VoteGiven | Step::BackupRequested => 1,
@@ -74,8 +74,8 @@
     }
 }
 
-/// Some steps are only taken after something else has gone wrong.
-fn prelude(step: Step) -> Option<Fault> {
+/// The fault that has to precede the cell's fault, for steps that are taken only after a fault.
+fn preliminary_fault(step: Step) -> Option<Fault> {
     match step {
         Step::BaseCopied | Step::BackupRequested | Step::AnswerFetched => Some(Fault::RouterKilled),
         Step::VoteAsked | Step::VoteGiven => Some(Fault::LeaderKilled),
