--- a/crates/e2e/tests/engines.rs
+++ b/crates/e2e/tests/engines.rs
@@ -116,8 +116,10 @@
     row.expect("the row of service models")["version"].as_u64().expect("a version number")
 }
 
+/// Engines carry out the order that follows an edit. An order of an old term is then refused only
+/// by the engine that checks the fence.
 #[tokio::test]
-async fn engines_carry_out_orders_and_fence_checkers_refuse_old_ones() {
+async fn only_engines_that_check_the_fence_refuse_an_old_order() {
     let fleet = Fleet::start(125).await;
     for zone in ["a", "b"] {
         let row = json!({
--- a/crates/e2e/tests/faults.rs
+++ b/crates/e2e/tests/faults.rs
@@ -129,18 +129,18 @@
     for api_request in api_requests {
         responses.push(api_request.await.expect("the task completes"));
     }
-    let response: Vec<_> = responses
+    let answered: Vec<_> = responses
         .iter()
         .flatten()
         .filter(|response| response.status.is_success() && is_complete(&response.body))
         .collect();
-    assert!(response.len() >= 80, "only {} requests answered", response.len());
+    assert!(answered.len() >= 80, "only {} requests answered", answered.len());
     let bills = wait_for("every response is billed", || async {
         let mut by_request: BTreeMap<String, usize> = BTreeMap::new();
         for bill in fleet.bills().await {
             *by_request.entry(bill.request).or_default() += 1;
         }
-        let all = response.iter().all(|response| by_request.contains_key(&response.request_id()));
+        let all = answered.iter().all(|response| by_request.contains_key(&response.request_id()));
         all.then_some(by_request)
     })
     .await;
--- a/crates/sim/src/checks.rs
+++ b/crates/sim/src/checks.rs
@@ -1,5 +1,5 @@
-//! Invariants, checked against the histories of callers, engines, bills and control replicas. The
-//! checks read no counter that the system itself keeps, since a fault could falsify it too.
+//! Invariants, checked against the histories of callers, engines, bills and control replicas,
+//! never against a counter of the system itself.
 
 use crate::callers::{AttemptEnd, CallerRecord};
 use crate::engines::Execution;
@@ -308,9 +308,9 @@
     let mut last: BTreeMap<&RowKey, (Version, &Option<Row>)> = BTreeMap::new();
     for edit in &world.edits {
         if let Some((_, version)) = edit.accepted() {
-            let held = last.entry(&edit.edit.key).or_insert((version, &edit.edit.row));
-            if version >= held.0 {
-                *held = (version, &edit.edit.row);
+            let newest = last.entry(&edit.edit.key).or_insert((version, &edit.edit.row));
+            if version >= newest.0 {
+                *newest = (version, &edit.edit.row);
             }
         }
     }
--- a/crates/sim/src/world.rs
+++ b/crates/sim/src/world.rs
@@ -23,7 +23,7 @@
 /// Longest time that a fleet may take to become ready.
 const BOOT_TIMEOUT_MS: u64 = 120_000;
 
-/// Deliberate defects of the software, which test that the checks detect them.
+/// Deliberate defects of the software, to verify that the checks detect them.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Defect {
     /// Defects of routers.
