--- a/crates/bench/src/baseline.rs
+++ b/crates/bench/src/baseline.rs
@@ -1,45 +1,45 @@
-//! Two simple ways to split a budget, to compare with.
+//! Two simple ways to share a budget among zones, as baselines for comparison.
 
-/// One request as the baselines see it.
+/// One request as input of the baselines.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival {
-    /// When, in milliseconds.
+    /// Arrival time, in milliseconds.
     pub at: u64,
-    /// Which zone it came to.
+    /// Zone that received it.
     pub zone: usize,
-    /// Which budget it draws on.
+    /// Budget that it is charged to.
     pub budget: usize,
-    /// The most it may cost.
+    /// Upper bound of its cost, in tokens.
     pub bound: u64,
-    /// What it costs.
+    /// Its actual cost, in tokens.
     pub used: u64,
 }
 
-/// When which zone is cut off from the others.
+/// A partition of one zone from the others.
 #[derive(Clone, Copy, Debug)]
-pub struct CutOff {
-    /// The zone.
+pub struct Partition {
+    /// The partitioned zone.
     pub zone: usize,
-    /// From when on.
+    /// Start of the partition, in milliseconds.
     pub from: u64,
-    /// Until when.
+    /// End of the partition (exclusive), in milliseconds.
     pub until: u64,
 }
 
-impl CutOff {
-    fn separates(&self, zone: usize, at: u64) -> bool {
+impl Partition {
+    fn isolates(&self, zone: usize, at: u64) -> bool {
         zone == self.zone && (self.from..self.until).contains(&at)
     }
 }
 
 /// False refusals of a fixed even split among zones: a zone refuses once its own share is spent,
-/// although others have rights left.
+/// although other zones still have tokens.
 pub fn even_split(arrivals: &[Arrival], limits: &[u64], zones: usize) -> u64 {
-    let mut left: Vec<Vec<u64>> =
+    let mut remaining: Vec<Vec<u64>> =
         limits.iter().map(|limit| vec![limit / zones as u64; zones]).collect();
     let mut false_refusals = 0;
     for arrival in arrivals {
-        let shares = &mut left[arrival.budget];
+        let shares = &mut remaining[arrival.budget];
         let total: u64 = shares.iter().sum();
         if shares[arrival.zone] >= arrival.bound {
             shares[arrival.zone] -= arrival.used;
@@ -50,18 +50,19 @@
     false_refusals
 }
 
-/// False refusals of one central counter in the first zone that is not cut off: whoever can't
-/// reach it refuses.
-pub fn central_counter(arrivals: &[Arrival], limits: &[u64], cut: Option<CutOff>) -> u64 {
-    let mut left = limits.to_vec();
+/// False refusals of one central counter outside the partitioned zone: a zone that cannot reach
+/// the counter refuses every request.
+pub fn central_counter(arrivals: &[Arrival], limits: &[u64], partition: Option<Partition>) -> u64 {
+    let mut remaining = limits.to_vec();
     let mut false_refusals = 0;
     for arrival in arrivals {
-        let reached = cut.is_none_or(|cut| !cut.separates(arrival.zone, arrival.at));
-        if left[arrival.budget] < arrival.bound {
+        let reachable =
+            partition.is_none_or(|partition| !partition.isolates(arrival.zone, arrival.at));
+        if remaining[arrival.budget] < arrival.bound {
             continue;
         }
-        if reached {
-            left[arrival.budget] -= arrival.used;
+        if reachable {
+            remaining[arrival.budget] -= arrival.used;
         } else {
             false_refusals += 1;
         }
--- a/crates/bench/src/departures.rs
+++ b/crates/bench/src/departures.rs
@@ -1,6 +1,7 @@
-//! A release of all engines before a whole fleet: what control processes tell routers of it, how many bytes that is and what
-//! the replicated state holds afterwards. The directories, words, versions and messages are those of the gateway. There are
-//! no sockets: what is told arrives at once, and routers confirm it every [`CONFIRM_INTERVAL`] milliseconds.
+//! Rolling replacement of all engines of a fleet: messages and bytes that control processes send to
+//! routers, and the size of the replicated state afterwards. Directories, departure records,
+//! revisions and messages are those of the gateway. There are no sockets: messages arrive at once,
+//! and routers confirm them every [`CONFIRM_INTERVAL_MS`] milliseconds.
 
 use clap::ArgMatches;
 use stackpost_coordinator::{Command, DeliveryTracker, FleetMessage, FleetState};
@@ -10,19 +11,19 @@
 use stackpost_types::{BackEndName, Millis, Timestamp};
 use std::time::Instant;
 
-/// Control processes.
-const CONTROL: usize = 9;
-/// Time in which all engines are replaced.
+/// Number of control processes.
+const CONTROL_PROCESSES: usize = 9;
+/// Time within which all engines are replaced.
 const RELEASE: Millis = Millis(120_000);
-/// Time between two confirmations of a router.
-const CONFIRM_INTERVAL: u64 = 450;
-/// Time between two rounds in which a control process passes on what it heard from others.
-const PASS_ON_INTERVAL: u64 = 200;
-/// Bytes of a segment's headers and of the length before a message.
-const SEGMENT_HEAD: usize = 44;
+/// Time between two confirmations by a router.
+const CONFIRM_INTERVAL_MS: u64 = 450;
+/// Time between two rounds in which control processes forward updates received from each other.
+const FORWARD_INTERVAL_MS: u64 = 200;
+/// Size of a TCP segment's headers and of the length prefix of a message.
+const SEGMENT_HEADER_BYTES: usize = 44;
 const START: Timestamp = Timestamp::PROCESS_START;
 
-/// What one control process has told one router.
+/// Delivery state from one control process to one router.
 #[derive(Clone, Copy, Default)]
 struct Link {
     engines: DeliveryTracker,
@@ -32,7 +33,7 @@
 struct Router {
     directory: EngineDirectory,
     departures: KnownDepartures,
-    links: [Link; CONTROL],
+    links: [Link; CONTROL_PROCESSES],
 }
 
 struct Simulation {
@@ -41,7 +42,7 @@
     routers: Vec<Router>,
     messages: u64,
     bytes: u64,
-    entry_bytes: u64,
+    log_entry_bytes: u64,
 }
 
 fn notice(number: usize, successor: bool) -> EngineNotice {
@@ -58,9 +59,9 @@
     }
 }
 
-fn size(message: &FleetMessage) -> usize {
-    let encoded = postcard::to_stdvec(message).expect("a message can be encoded");
-    encoded.len() + SEGMENT_HEAD
+fn wire_size(message: &FleetMessage) -> usize {
+    let encoded = postcard::to_stdvec(message).expect("encode a fleet message");
+    encoded.len() + SEGMENT_HEADER_BYTES
 }
 
 impl Simulation {
@@ -68,63 +69,65 @@
         let router = || Router {
             directory: EngineDirectory::follower(),
             departures: KnownDepartures::default(),
-            links: [Link::default(); CONTROL],
+            links: [Link::default(); CONTROL_PROCESSES],
         };
         let mut simulation = Self {
-            control: vec![EngineDirectory::default(); CONTROL],
+            control: vec![EngineDirectory::default(); CONTROL_PROCESSES],
             state: FleetState::default(),
             routers: (0..routers).map(|_| router()).collect(),
             messages: 0,
             bytes: 0,
-            entry_bytes: 0,
+            log_entry_bytes: 0,
         };
         for number in 0..engines {
             simulation.announce(START, &notice(number, false));
         }
-        simulation.tell(START, true);
+        simulation.send_updates(START, true);
         simulation.confirm();
         (simulation.messages, simulation.bytes) = (0, 0);
         simulation
     }
 
-    /// Every control process hears of it.
+    /// Merges the notice into the directory of every control process.
     fn announce(&mut self, now: Timestamp, notice: &EngineNotice) {
         for directory in &mut self.control {
             directory.merge(now, notice.clone());
         }
     }
 
-    /// An engine leaves: its word is written down and taken over everywhere.
+    /// Marks an engine as gone in every directory and commits its departure.
     fn mark_gone(&mut self, now: Timestamp, engine: &BackEndName) {
         for directory in &mut self.control {
             directory.mark_gone(now, engine);
         }
-        let word =
+        let record =
             DepartureRecord { engine: engine.clone(), state: EngineState::Gone, sequence: 41 };
-        let command = Command::Departures(DepartureChange::Announced(vec![word]));
-        self.entry_bytes += postcard::to_stdvec(&command).expect("it can be encoded").len() as u64;
+        let command = Command::Departures(DepartureChange::Announced(vec![record]));
+        self.log_entry_bytes +=
+            postcard::to_stdvec(&command).expect("encode a command").len() as u64;
         self.state.apply(command);
     }
 
-    /// Tells routers what is new: whoever heard of it, or every control process, of the engines; the leader of departures.
-    fn tell(&mut self, now: Timestamp, by_all: bool) {
-        let telling = if by_all { CONTROL } else { 1 };
+    /// Sends pending updates to all routers: engine changes from the first control process only, or
+    /// from all of them; departures from the leader.
+    fn send_updates(&mut self, now: Timestamp, from_all: bool) {
+        let senders = if from_all { CONTROL_PROCESSES } else { 1 };
         for router in &mut self.routers {
-            for (directory, link) in self.control[..telling].iter().zip(&mut router.links) {
+            for (directory, link) in self.control[..senders].iter().zip(&mut router.links) {
                 if let Some(base) = link.engines.begin_send(now, directory.revision()) {
-                    let news = directory.changes_since(now, base);
-                    for notice in &news.notices {
+                    let delta = directory.changes_since(now, base);
+                    for notice in &delta.notices {
                         router.directory.merge(now, notice.clone());
                     }
-                    self.bytes += size(&FleetMessage::EngineChanges(news)) as u64;
+                    self.bytes += wire_size(&FleetMessage::EngineChanges(delta)) as u64;
                     self.messages += 1;
                 }
             }
             let leader = &mut router.links[0].departures;
             if let Some(base) = leader.begin_send(now, self.state.departures.revision()) {
-                let news = self.state.departures.since(base);
-                router.departures.merge_delta(now, &news);
-                self.bytes += size(&FleetMessage::Departures(news)) as u64;
+                let delta = self.state.departures.since(base);
+                router.departures.merge_delta(now, &delta);
+                self.bytes += wire_size(&FleetMessage::Departures(delta)) as u64;
                 self.messages += 1;
             }
         }
@@ -140,45 +143,46 @@
     }
 }
 
-/// Prints what a release costs.
+/// Replaces all engines and prints the traffic and the state size.
 pub fn run(arguments: &ArgMatches) {
-    let number = |name: &str| *arguments.get_one::<u64>(name).expect("it has a default") as usize;
+    let number =
+        |name: &str| *arguments.get_one::<u64>(name).expect("argument has a default") as usize;
     let (routers, engines) = (number("routers"), number("engines"));
     let mut simulation = Simulation::new(routers, engines);
-    let began = Instant::now();
-    let (mut confirmed_at, mut passed_on_at) = (0, 0);
+    let started = Instant::now();
+    let (mut confirmed_at, mut forwarded_at) = (0, 0);
     for engine in 0..engines {
-        let passed = RELEASE.0 * engine as u64 / engines as u64;
-        let now = START + Millis(passed);
+        let elapsed_ms = RELEASE.0 * engine as u64 / engines as u64;
+        let now = START + Millis(elapsed_ms);
         simulation.announce(now, &notice(engine, true));
-        simulation.tell(now, false);
+        simulation.send_updates(now, false);
         simulation.mark_gone(now, &notice(engine, false).engine);
-        simulation.tell(now, false);
-        if passed >= passed_on_at + PASS_ON_INTERVAL {
-            passed_on_at = passed;
-            simulation.tell(now, true);
+        simulation.send_updates(now, false);
+        if elapsed_ms >= forwarded_at + FORWARD_INTERVAL_MS {
+            forwarded_at = elapsed_ms;
+            simulation.send_updates(now, true);
         }
-        if passed >= confirmed_at + CONFIRM_INTERVAL {
-            confirmed_at = passed;
+        if elapsed_ms >= confirmed_at + CONFIRM_INTERVAL_MS {
+            confirmed_at = elapsed_ms;
             simulation.confirm();
         }
     }
-    simulation.tell(START + RELEASE, true);
+    simulation.send_updates(START + RELEASE, true);
     let seconds = RELEASE.0 as f64 / 1e3;
     let per_router = simulation.bytes as f64 / routers as f64 / seconds;
-    let known = simulation.routers.iter().all(|router| {
-        router.directory.iter().filter(|one| one.notice.state == EngineState::Ready).count()
+    let all_known = simulation.routers.iter().all(|router| {
+        router.directory.iter().filter(|record| record.notice.state == EngineState::Ready).count()
             == engines
     });
     println!(
         "{routers} routers, {engines} engines replaced in {seconds} s: a router is told {:.2} messages and {:.0} bytes a second; \
-         the leader and {} others send {:.1} KB/s in all; {:.1} bytes an entry, {:.1} KB of state; {:.2} s of processor time; every router knows: {known}",
+         the leader and {} others send {:.1} KB/s in all; {:.1} bytes an entry, {:.1} KB of state; {:.2} s of processor time; every router knows: {all_known}",
         simulation.messages as f64 / routers as f64 / seconds,
         per_router,
-        CONTROL - 1,
+        CONTROL_PROCESSES - 1,
         per_router * routers as f64 / 1e3,
-        simulation.entry_bytes as f64 / engines as f64,
+        simulation.log_entry_bytes as f64 / engines as f64,
         simulation.state.to_snapshot().len() as f64 / 1e3,
-        began.elapsed().as_secs_f64(),
+        started.elapsed().as_secs_f64(),
     );
 }
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,8 +1,10 @@
-//! `stackpost-bench`: measurements of the decision code without sockets.
+//! `stackpost-bench`: benchmarks of the decision code in a simulated fleet, without sockets.
 //!
-//! `refusals` measures overspend and false refusals against two baselines; `capacity` measures how
-//! memory, processor time and bytes grow with routers, engines, budgets and requests; `rates` measures the gateway before engines
-//! that state how many requests a second they take; `departures` measures a release of all engines.
+//! - `refusals`: overspend and false refusals, compared with two baselines;
+//! - `capacity`: memory, CPU time and network traffic by number of routers, engines, budgets and
+//!   requests;
+//! - `rates`: gateways in front of engines that state a request rate limit;
+//! - `departures`: a rolling replacement of all engines.
 
 mod baseline;
 mod capacity;
--- a/crates/bench/src/rates.rs
+++ b/crates/bench/src/rates.rs
@@ -1,8 +1,8 @@
-//! Routers before engines that state how many requests a second they take: what they tell one another, what it costs and
-//! how much of the rates is used. The decisions are those of the gateway; time, network and engines are simulated, a
-//! datagram arrives at once.
+//! Routers in front of engines that state a request rate limit: messages between routers, their
+//! cost, and the share of the rates that is used. The decisions are those of the gateway; time,
+//! network and engines are simulated, and a datagram arrives at once.
 
-use crate::capacity::resident;
+use crate::capacity::resident_bytes;
 use clap::ArgMatches;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -15,24 +15,29 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 
-/// Requests a second and router at the two-year size.
+/// Requests per second and router, for the fleet size expected in two years.
 const REQUESTS_PER_ROUTER: f64 = 53.0;
-/// Longest wait for a permit, an eighth of an objective of 300 ms.
-const PATIENCE: Millis = Millis(37);
-const MOST_OWNERS: usize = 2;
-/// Other routers that each tells of loads; what it tells comes less often the more they are.
-const PEERS: usize = 96;
-/// Span of time over which an engine's requests are counted, and from when on.
+/// Longest wait for a permit: an eighth of a latency objective of 300 ms.
+const PERMIT_TIMEOUT: Millis = Millis(37);
+/// Most lenders that a router asks for a permit per request.
+const MAX_LENDERS: usize = 2;
+/// Most other routers that each router sends load updates to; the more there are, the longer the
+/// interval between updates.
+const MAX_PEERS: usize = 96;
+/// Length of the sliding window over which an engine's requests are counted.
 const WINDOW: Millis = Millis(4_000);
-const KEPT_AFTER: Millis = Millis(3_000);
-/// Headers of a datagram.
-const DATAGRAM_HEAD: usize = 28;
-/// Bytes of a question for a permit without statements, of its answer, and of one statement (encoded in the wire's form by
-/// the names and numbers that they hold).
-const QUESTION: usize = 24;
-const ANSWER: usize = 24;
-const STATEMENT: usize = 34;
-/// Most statements in one datagram.
+/// Time at the start that is left out of the results.
+const WARM_UP: Millis = Millis(3_000);
+/// Size of a datagram's headers.
+const DATAGRAM_HEADER_BYTES: usize = 28;
+/// Size of a permit request without rate statements. This and the next two sizes are those of the
+/// wire encoding with names and numbers as in this benchmark.
+const PERMIT_REQUEST_BYTES: usize = 24;
+/// Size of the response to a permit request.
+const PERMIT_RESPONSE_BYTES: usize = 24;
+/// Size of one rate statement.
+const STATEMENT_BYTES: usize = 34;
+/// Most rate statements in one datagram.
 const STATEMENTS_PER_DATAGRAM: usize = 16;
 
 struct Router {
@@ -40,14 +45,14 @@
     shedding: LoadShedder,
 }
 
-/// What was counted.
+/// Counters of a run.
 #[derive(Default)]
 struct Counts {
     sent: u64,
     refused: u64,
     datagrams: u64,
     bytes: u64,
-    questions: u64,
+    permit_requests: u64,
 }
 
 struct Simulation {
@@ -55,36 +60,36 @@
     service: ServiceName,
     routers: Vec<Router>,
     engines: Vec<EngineRecord>,
-    /// The place of each in `engines`.
-    numbers: HashMap<BackEndName, usize>,
-    /// The rate of each engine; `None` if it states none.
+    /// Index in `engines` by name.
+    index_by_name: HashMap<BackEndName, usize>,
+    /// Stated rate of each engine in requests per second; `None` without a limit.
     rates: Vec<Option<f64>>,
     arrivals: Vec<Vec<u64>>,
     counts: Counts,
 }
 
-fn address(router: usize) -> SocketAddr {
+fn router_address(router: usize) -> SocketAddr {
     ([10, 0, (router / 250) as u8, (router % 250) as u8], 80).into()
 }
 
-fn number_of(router: SocketAddr) -> usize {
+fn router_index(router: SocketAddr) -> usize {
     match router {
         SocketAddr::V4(address) => {
             let [_, _, third, fourth] = address.ip().octets();
             usize::from(third) * 250 + usize::from(fourth)
         }
-        SocketAddr::V6(_) => unreachable!("addresses are made above"),
+        SocketAddr::V6(_) => unreachable!("router addresses are IPv4"),
     }
 }
 
-fn record(number: usize) -> EngineRecord {
+fn engine_record(number: usize) -> EngineRecord {
     let mut directory = EngineDirectory::default();
     let name = BackEndName::new(format!("i-{number:010x}"));
     let notice = EngineNotice {
         engine: name.clone(),
         sequence: 1,
         service: "models".into(),
-        address: address(number),
+        address: router_address(number),
         zone: "hall".into(),
         slots: 64,
         state: EngineState::Ready,
@@ -92,7 +97,7 @@
         known_for: Millis(0),
     };
     directory.merge(Timestamp(1), notice);
-    directory.get(&name).expect("it was announced").clone()
+    directory.get(&name).expect("the engine was announced").clone()
 }
 
 impl Simulation {
@@ -102,57 +107,60 @@
         let rate = |engine| (engine < limited).then(|| rng.random_range(0.5..20.0));
         let rates = (0..engines).map(rate).collect();
         let router = |own: usize| {
-            let mut permits = EnginePermits::new(address(own));
-            let others = (0..routers).filter(|one| *one != own);
-            permits.set_others(Timestamp(0), &others.map(address).collect::<Vec<_>>());
+            let mut permits = EnginePermits::new(router_address(own));
+            let others = (0..routers).filter(|other| *other != own);
+            permits.set_others(Timestamp(0), &others.map(router_address).collect::<Vec<_>>());
             Router { permits, shedding: LoadShedder::default() }
         };
         Self {
             rng,
             service: "models".into(),
             routers: (0..routers).map(router).collect(),
-            engines: (0..engines).map(record).collect(),
-            numbers: (0..engines).map(|one| (record(one).notice.engine, one)).collect(),
+            engines: (0..engines).map(engine_record).collect(),
+            index_by_name: (0..engines)
+                .map(|index| (engine_record(index).notice.engine, index))
+                .collect(),
             rates,
             arrivals: vec![Vec::new(); engines],
             counts: Counts::default(),
         }
     }
 
-    /// One request at one router.
+    /// Handles one request at one router.
     fn request(&mut self, router: usize, now: Timestamp) {
-        let lot: u64 = self.rng.random();
+        let random: u64 = self.rng.random();
         let Router { permits, shedding, .. } = &mut self.routers[router];
         let availability = permits.availability(now, self.engines.iter());
         if availability != PermitAvailability::Unlimited {
             let class = RequestClass { priority: 1, tenant: None };
             let owned = permits.owned_rate(|_| true);
-            if !shedding.admits(now, &self.service, &class, owned, lot >> 32) {
+            if !shedding.admits(now, &self.service, &class, owned, random >> 32) {
                 self.counts.refused += 1;
                 return;
             }
         }
-        if matches!(availability, PermitAvailability::Spent { soonest, .. } if soonest > PATIENCE) {
+        if matches!(availability, PermitAvailability::Spent { soonest, .. } if soonest > PERMIT_TIMEOUT)
+        {
             shedding.on_no_permit(now, &self.service);
             self.counts.refused += 1;
             return;
         }
-        let begin = self.rng.random_range(0..self.engines.len());
-        let around = (begin..self.engines.len()).chain(0..begin);
-        let mut own =
-            around.filter(|one| permits.has_room(now, &self.engines[*one], PermitScope::Rate));
-        let own = own.next();
-        if let Some(engine) = own {
+        let start = self.rng.random_range(0..self.engines.len());
+        let candidates = (start..self.engines.len()).chain(0..start);
+        let mut own_engines = candidates
+            .filter(|index| permits.has_room(now, &self.engines[*index], PermitScope::Rate));
+        let own_engine = own_engines.next();
+        if let Some(engine) = own_engine {
             permits.take(now, &self.engines[engine].notice.engine, PermitScope::Rate);
             shedding.on_permit(&self.service);
             return self.send(router, engine, now);
         }
         for lender in permits
-            .lenders(now, lot, PermitScope::Rate, self.engines.iter())
+            .lenders(now, random, PermitScope::Rate, self.engines.iter())
             .into_iter()
-            .take(MOST_OWNERS)
+            .take(MAX_LENDERS)
         {
-            if let Some(engine) = self.ask(router, number_of(lender), now) {
+            if let Some(engine) = self.request_permit(router, router_index(lender), now) {
                 self.routers[router].shedding.on_permit(&self.service);
                 return self.send(router, engine, now);
             }
@@ -161,26 +169,26 @@
         self.counts.refused += 1;
     }
 
-    /// Asks another router for a permit.
-    fn ask(&mut self, router: usize, lender: usize, now: Timestamp) -> Option<usize> {
-        self.counts.questions += 1;
-        self.count_datagram(QUESTION + 3 * STATEMENT);
-        self.count_datagram(ANSWER);
-        let lending = &mut self.routers[lender].permits;
-        let own = address(lender);
-        let owned = lending.owned();
-        let mut owned = owned.iter().map(|engine| self.numbers[engine]);
-        let engine =
-            owned.find(|one| lending.has_room(now, &self.engines[*one], PermitScope::Rate));
+    /// Requests a permit from another router; returns the engine that it is for.
+    fn request_permit(&mut self, router: usize, lender: usize, now: Timestamp) -> Option<usize> {
+        self.counts.permit_requests += 1;
+        self.count_datagram(PERMIT_REQUEST_BYTES + 3 * STATEMENT_BYTES);
+        self.count_datagram(PERMIT_RESPONSE_BYTES);
+        let lender_permits = &mut self.routers[lender].permits;
+        let own_address = router_address(lender);
+        let owned = lender_permits.owned();
+        let mut owned = owned.iter().map(|engine| self.index_by_name[engine]);
+        let engine = owned
+            .find(|index| lender_permits.has_room(now, &self.engines[*index], PermitScope::Rate));
         if let Some(engine) = engine {
-            lending.take(now, &self.engines[engine].notice.engine, PermitScope::Rate);
-        } else if let Some(wait) = lending.next_owned_permit(now, |_| true) {
-            self.routers[router].permits.on_spent(now, own, &self.service, wait);
+            lender_permits.take(now, &self.engines[engine].notice.engine, PermitScope::Rate);
+        } else if let Some(wait) = lender_permits.next_owned_permit(now, |_| true) {
+            self.routers[router].permits.on_spent(now, own_address, &self.service, wait);
         }
         engine
     }
 
-    /// The engine takes the request and states its rate in the answer.
+    /// Sends the request to the engine, which states its rate in the response.
     fn send(&mut self, router: usize, engine: usize, now: Timestamp) {
         self.counts.sent += 1;
         self.arrivals[engine].push(now.0);
@@ -190,118 +198,121 @@
         let name = &self.engines[engine].notice.engine;
         let Router { permits, .. } = &mut self.routers[router];
         if permits.learn(now, name, now, statement).is_some() {
-            let news = permits.rates().update_for(now, name);
-            let owner = permits.owner(name).map(number_of);
-            if let (Some(news), Some(owner)) = (news, owner.filter(|owner| *owner != router)) {
-                self.tell_one(owner, &[news], now);
+            let update = permits.rates().update_for(now, name);
+            let owner = permits.owner(name).map(router_index);
+            if let (Some(update), Some(owner)) = (update, owner.filter(|owner| *owner != router)) {
+                self.send_updates_to(owner, &[update], now);
             }
         }
     }
 
-    /// Every router tells everyone of the engines that it owns, and the owners of the others.
-    fn tell(&mut self, now: Timestamp) {
+    /// Every router sends its rate updates: for engines that it owns to all other routers, for the
+    /// others to the owner.
+    fn send_updates(&mut self, now: Timestamp) {
         for router in 0..self.routers.len() {
             let permits = &mut self.routers[router].permits;
-            let news = permits.rates_mut().take_updates(now);
+            let updates = permits.rates_mut().take_updates(now);
             let (own, others): (Vec<RateUpdate>, Vec<RateUpdate>) =
-                news.into_iter().partition(|one| permits.owns(&one.engine));
+                updates.into_iter().partition(|update| permits.owns(&update.engine));
             let mut by_owner: BTreeMap<usize, Vec<RateUpdate>> = BTreeMap::new();
-            for one in others {
-                if let Some(owner) = self.routers[router].permits.owner(&one.engine) {
-                    by_owner.entry(number_of(owner)).or_default().push(one);
+            for update in others {
+                if let Some(owner) = self.routers[router].permits.owner(&update.engine) {
+                    by_owner.entry(router_index(owner)).or_default().push(update);
                 }
             }
             for other in (0..self.routers.len()).filter(|other| *other != router && !own.is_empty())
             {
-                self.tell_one(other, &own, now);
+                self.send_updates_to(other, &own, now);
             }
-            for (owner, news) in by_owner {
-                self.tell_one(owner, &news, now);
+            for (owner, updates) in by_owner {
+                self.send_updates_to(owner, &updates, now);
             }
         }
     }
 
-    fn tell_one(&mut self, to: usize, news: &[RateUpdate], now: Timestamp) {
-        for part in news.chunks(STATEMENTS_PER_DATAGRAM) {
-            self.count_datagram(part.len() * STATEMENT);
+    fn send_updates_to(&mut self, to: usize, updates: &[RateUpdate], now: Timestamp) {
+        for part in updates.chunks(STATEMENTS_PER_DATAGRAM) {
+            self.count_datagram(part.len() * STATEMENT_BYTES);
         }
-        for one in news {
-            self.routers[to].permits.learn_from_peer(now, one);
+        for update in updates {
+            self.routers[to].permits.learn_from_peer(now, update);
         }
     }
 
     fn count_datagram(&mut self, content: usize) {
         self.counts.datagrams += 1;
-        self.counts.bytes += (content + DATAGRAM_HEAD) as u64;
+        self.counts.bytes += (content + DATAGRAM_HEADER_BYTES) as u64;
     }
 
-    /// Most requests in a window beyond one and a half times the rate and five, over all engines.
-    fn most_beyond(&self) -> i64 {
-        let beyond = |(arrivals, rate): (&Vec<u64>, &Option<f64>)| {
+    /// Largest excess, over all engines and windows, of requests in a window beyond one and a half
+    /// times the stated rate plus five.
+    fn max_excess(&self) -> i64 {
+        let excess = |(arrivals, rate): (&Vec<u64>, &Option<f64>)| {
             let allowed = (1.5 * (*rate)? * WINDOW.0 as f64 / 1_000.0) as i64 + 5;
             let counted: Vec<u64> =
-                arrivals.iter().copied().filter(|at| *at >= KEPT_AFTER.0).collect();
+                arrivals.iter().copied().filter(|at| *at >= WARM_UP.0).collect();
             let within = |first: usize| {
                 let end = counted[first] + WINDOW.0;
                 counted[first..].iter().take_while(|at| **at < end).count() as i64
             };
             (0..counted.len()).map(within).max().map(|most| most - allowed)
         };
-        self.arrivals.iter().zip(&self.rates).filter_map(beyond).max().unwrap_or_default()
+        self.arrivals.iter().zip(&self.rates).filter_map(excess).max().unwrap_or_default()
     }
 
-    /// Requests at engines that state rates, as a part of these.
-    fn used(&self, seconds: u64) -> f64 {
+    /// Requests received by engines with a stated rate, as a fraction of the stated rates.
+    fn used_share(&self, seconds: u64) -> f64 {
         let limited = self.arrivals.iter().zip(&self.rates).filter(|(_, rate)| rate.is_some());
         let counted: usize = limited
-            .map(|(arrivals, _)| arrivals.iter().filter(|at| **at >= KEPT_AFTER.0).count())
+            .map(|(arrivals, _)| arrivals.iter().filter(|at| **at >= WARM_UP.0).count())
             .sum();
         let stated: f64 = self.rates.iter().flatten().sum();
-        counted as f64 / (stated * (seconds as f64 - KEPT_AFTER.0 as f64 / 1_000.0))
+        counted as f64 / (stated * (seconds as f64 - WARM_UP.0 as f64 / 1_000.0))
     }
 }
 
-/// Plays the fleet of the size asked for.
+/// Simulates a fleet of the requested size and prints the results.
 pub fn run(matches: &ArgMatches) {
-    let number = |name: &str| *matches.get_one::<u64>(name).expect("it has a default") as usize;
+    let number =
+        |name: &str| *matches.get_one::<u64>(name).expect("argument has a default") as usize;
     let (routers, engines, seconds) = (number("routers"), number("engines"), number("seconds"));
-    let before = resident();
+    let before = resident_bytes();
     let mut simulation = Simulation::new(routers, engines, number("limited-percent"));
-    let interval = 250 * (routers as u64 - 1).min(PEERS as u64).div_ceil(12).clamp(1, 6);
-    let mut began = Instant::now();
-    let mut at_first = Counts::default();
-    let a_millisecond = REQUESTS_PER_ROUTER * routers as f64 / 1_000.0;
-    let mut due = 0.0;
+    let interval = 250 * (routers as u64 - 1).min(MAX_PEERS as u64).div_ceil(12).clamp(1, 6);
+    let mut started = Instant::now();
+    let mut warm_up_counts = Counts::default();
+    let requests_per_ms = REQUESTS_PER_ROUTER * routers as f64 / 1_000.0;
+    let mut due_requests = 0.0;
     for now in 0..seconds as u64 * 1_000 {
-        if now == KEPT_AFTER.0 {
-            at_first = std::mem::take(&mut simulation.counts);
-            began = Instant::now();
+        if now == WARM_UP.0 {
+            warm_up_counts = std::mem::take(&mut simulation.counts);
+            started = Instant::now();
         }
-        due += a_millisecond;
-        while due >= 1.0 {
-            due -= 1.0;
+        due_requests += requests_per_ms;
+        while due_requests >= 1.0 {
+            due_requests -= 1.0;
             let router = simulation.rng.random_range(0..routers);
             simulation.request(router, Timestamp(now));
         }
         if now % interval == 0 {
-            simulation.tell(Timestamp(now));
+            simulation.send_updates(Timestamp(now));
         }
     }
-    let took = began.elapsed().as_secs_f64();
-    let first_seconds = KEPT_AFTER.0 as f64 / 1_000.0;
+    let elapsed_s = started.elapsed().as_secs_f64();
+    let first_seconds = WARM_UP.0 as f64 / 1_000.0;
     let per_router = 1.0 / (routers as f64 * (seconds as f64 - first_seconds));
     let counts = &simulation.counts;
     println!(
         "{routers} routers, {engines} engines, {}% limited: served {:.3}, {:.2} of the rates used, most beyond what is allowed {}; a router and second: {:.1} questions, {:.1} datagrams, {:.2} KB sent ({:.2} in the first {first_seconds} s); {:.2}% of a core; {} KB a router",
         number("limited-percent"),
         counts.sent as f64 / (counts.sent + counts.refused) as f64,
-        simulation.used(seconds as u64),
-        simulation.most_beyond(),
-        counts.questions as f64 * per_router,
+        simulation.used_share(seconds as u64),
+        simulation.max_excess(),
+        counts.permit_requests as f64 * per_router,
         counts.datagrams as f64 * per_router,
         counts.bytes as f64 * per_router / 1_000.0,
-        at_first.bytes as f64 / (routers as f64 * first_seconds) / 1_000.0,
-        took * per_router * 100.0,
-        ((resident() - before) >> 10) / routers as u64,
+        warm_up_counts.bytes as f64 / (routers as f64 * first_seconds) / 1_000.0,
+        elapsed_s * per_router * 100.0,
+        ((resident_bytes() - before) >> 10) / routers as u64,
     );
 }
--- a/crates/cli/src/arguments.rs
+++ b/crates/cli/src/arguments.rs
@@ -1,9 +1,9 @@
-//! The command line's shape.
+//! Definition of the command line.
 
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 use std::path::PathBuf;
 
-/// The whole command.
+/// The command with all subcommands.
 pub fn command() -> Command {
     Command::new("stackpost")
         .about("Shows and changes a stackpost fleet")
@@ -170,7 +170,7 @@
         .arg(required("shell", "The shell").value_parser(value_parser!(clap_complete::Shell)))
 }
 
-/// The value of a text argument that is required or has a default.
+/// Value of a text argument; empty if the argument is absent.
 pub fn text<'a>(matches: &'a ArgMatches, name: &str) -> &'a str {
     matches.get_one::<String>(name).map(String::as_str).unwrap_or_default()
 }
--- a/crates/cli/src/client.rs
+++ b/crates/cli/src/client.rs
@@ -1,4 +1,4 @@
-//! Talking to control replicas and routers as an operator.
+//! Client of the operator interfaces of control replicas and routers.
 
 use crate::output::CommandError;
 use serde::de::DeserializeOwned;
@@ -10,26 +10,26 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// Longest wait for one answer.
+/// Timeout of one request.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(6);
-/// How long an edit is sent again before the operator is told that its outcome is unknown.
+/// Time during which an edit is retried before its outcome is reported as unknown.
 const EDIT_TIMEOUT: Duration = Duration::from_secs(15);
-/// Pause before an edit is sent again.
+/// Delay before an edit is retried.
 const EDIT_PAUSE: Duration = Duration::from_millis(200);
 
-/// An operator's view of the fleet.
+/// Sends an operator's requests to the fleet's processes.
 pub struct FleetClient {
-    /// The fleet's settings.
+    /// Settings of the fleet.
     pub settings: FleetSettings,
     key: String,
     client: Client,
 }
 
-/// An answer and the machine that gave it.
+/// Response of one machine.
 pub struct From<T> {
     /// The machine.
     pub machine: MachineName,
-    /// The answer, or why there is none.
+    /// The response, or the error of the request.
     pub answer: Result<T, String>,
 }
 
@@ -44,7 +44,7 @@
         Ok(Self { settings, key: key.trim().to_string(), client: Client::default() })
     }
 
-    /// Asks one address.
+    /// Sends a GET request to one address and parses the JSON response.
     pub async fn get<T: DeserializeOwned>(
         &self,
         address: SocketAddr,
@@ -62,7 +62,7 @@
         serde_json::from_slice(&body).map_err(|error| format!("answer not understood: {error}"))
     }
 
-    /// Asks every control replica.
+    /// Sends a GET request to every control replica.
     pub async fn ask_replicas<T: DeserializeOwned>(&self, path: &str) -> Vec<From<T>> {
         let mut answers = Vec::new();
         for (machine, control) in self.settings.replicas() {
@@ -72,7 +72,7 @@
         answers
     }
 
-    /// Asks every router.
+    /// Sends a GET request to every router.
     pub async fn ask_routers<T: DeserializeOwned>(&self, path: &str) -> Vec<From<T>> {
         let mut answers = Vec::new();
         for (machine, router) in self.settings.routers() {
@@ -82,7 +82,7 @@
         answers
     }
 
-    /// Asks the leader, or the first replica that answers.
+    /// Sends a GET request to the replicas, leader first, until one of them responds.
     pub async fn ask_best<T: DeserializeOwned>(&self, path: &str) -> Result<T, CommandError> {
         let mut reasons = Vec::new();
         for address in self.replicas_leader_first().await {
@@ -110,8 +110,8 @@
         leader.into_iter().chain(others.filter(|address| Some(*address) != leader)).collect()
     }
 
-    /// Sends an edit until its outcome is known. It is sent again under the same id, so that it
-    /// takes effect once at most.
+    /// Sends an edit until its outcome is known. Retries carry the same id, so that the edit takes
+    /// effect at most once.
     pub async fn edit(&self, edit: &EditRequest) -> Result<EditView, CommandError> {
         let started = Instant::now();
         let mut next = 0;
--- a/crates/cli/src/commands/edit.rs
+++ b/crates/cli/src/commands/edit.rs
@@ -1,4 +1,4 @@
-//! Sending one edit and following it into force.
+//! Sends an edit and waits until it is in force.
 
 use super::Context;
 use crate::output::{CommandError, Form, print_json};
@@ -10,16 +10,16 @@
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
-/// How long an accepted edit is followed.
+/// Longest wait until an accepted edit is in force.
 const FOLLOW_FOR: Duration = Duration::from_secs(5);
-/// Pause between two looks.
+/// Time between two status requests.
 const LOOK_AGAIN_AFTER: Duration = Duration::from_millis(20);
-/// Exit code when another edit came first.
+/// Exit code when the row has been changed by another edit.
 const CONFLICT: u8 = 3;
-/// Exit code when an edit is not yet in force everywhere.
+/// Exit code when an edit is not yet in force in every zone.
 const NOT_EVERYWHERE: u8 = 4;
 
-/// A change of one row.
+/// A change of one table row.
 pub(crate) struct Change {
     pub table: String,
     pub name: String,
@@ -28,7 +28,7 @@
 }
 
 impl Change {
-    /// The change as it is sent, under an id of its own.
+    /// Converts the change to a request with a new id.
     pub fn into_request(self) -> EditRequest {
         EditRequest {
             id: uuid::Uuid::new_v4().to_string(),
@@ -40,7 +40,7 @@
     }
 }
 
-/// Makes a change, tells what became of it, and waits until it is in force if asked to.
+/// Sends a change, prints its outcome, and if `follow` is set waits until it is in force.
 pub(crate) async fn make(
     context: &Context,
     change: Change,
@@ -65,7 +65,7 @@
     }
 }
 
-/// What became of an edit, in words.
+/// Describes the outcome of an edit.
 pub(crate) fn describe(label: &str, view: &EditView) -> String {
     match view {
         EditView::Accepted { version, recall: None } => format!("{label}: version {version}"),
--- a/crates/cli/src/commands/explain.rs
+++ b/crates/cli/src/commands/explain.rs
@@ -1,4 +1,4 @@
-//! Why a request went the way it went.
+//! `explain`: the decisions made for one request.
 
 use super::Context;
 use crate::client::From;
@@ -8,7 +8,7 @@
 use std::process::ExitCode;
 
 pub(crate) async fn run(context: &Context, request: &str) -> Result<ExitCode, CommandError> {
-    // A decision id names the router behind an `@`; the request id alone is enough.
+    // A decision id has the router's name after an `@`; only the request id is needed.
     let request = request.split('@').next().unwrap_or_default();
     if RequestId::parse(request).is_none() {
         return Err(CommandError::Usage("request: allowed: 32 hexadecimal digits".into()));
@@ -37,7 +37,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Prints a request's steps with the time since the first.
+/// Prints the steps of a request with the time since the first step.
 pub(crate) fn print_trace(machine: &str, trace: &Trace) {
     println!("request {} on {machine}", trace.request);
     let first = trace.steps.first().map(|(at, _)| *at).unwrap_or_default();
--- a/crates/cli/src/commands/file.rs
+++ b/crates/cli/src/commands/file.rs
@@ -1,4 +1,4 @@
-//! Files of rows.
+//! Files with table rows.
 
 use crate::output::{CommandError, print_columns};
 use clap::ArgMatches;
@@ -19,7 +19,7 @@
     pub row: Value,
 }
 
-/// All rows of a file.
+/// The rows of a file.
 #[derive(Debug, Deserialize)]
 #[serde(transparent)]
 pub(crate) struct RowFile(pub Vec<FileRow>);
@@ -42,7 +42,7 @@
 }
 
 impl RowFile {
-    /// Reads a file; its rows come in the order in which they depend on one another.
+    /// Reads a file and sorts its rows so that a row follows those that it depends on.
     pub fn read(path: &Path) -> Result<Self, CommandError> {
         let mut file: Self = load(path).map_err(|error| CommandError::Usage(error.to_string()))?;
         let rank = |row: &FileRow| TableName::ALL.iter().position(|t| t.as_str() == row.table);
@@ -51,7 +51,7 @@
     }
 }
 
-/// Lists the back ends of a file, for scripts that start stand-ins.
+/// Lists the back ends of a file, for scripts that start a stand-in for each.
 pub(crate) fn list(matches: &ArgMatches) -> Result<ExitCode, CommandError> {
     let inner = matches.subcommand_matches("list-file");
     let path = inner.and_then(|inner| inner.get_one::<PathBuf>("file")).cloned();
--- a/crates/cli/src/commands/mod.rs
+++ b/crates/cli/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The commands.
+//! Implementation of the subcommands.
 
 mod edit;
 mod explain;
@@ -18,13 +18,13 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// What most commands need.
+/// Fleet client and output format of a command.
 pub(crate) struct Context {
     pub fleet: FleetClient,
     pub form: Form,
 }
 
-/// Runs the command that was asked for.
+/// Runs the selected subcommand.
 pub async fn run(matches: &ArgMatches) -> Result<ExitCode, CommandError> {
     let Some((name, inner)) = matches.subcommand() else {
         return Err(CommandError::Usage("no command".into()));
--- a/crates/cli/src/commands/money.rs
+++ b/crates/cli/src/commands/money.rs
@@ -48,7 +48,8 @@
     sums
 }
 
-/// The bills of all replicas that answer, each bill once. A bill is on a majority of them.
+/// Bills from all replicas that respond, without duplicates. Each bill is stored by a majority of
+/// the replicas.
 async fn all_bills(context: &Context, path: &str) -> Result<Vec<BillView>, CommandError> {
     let answers: Vec<From<Vec<BillView>>> = context.fleet.ask_replicas(path).await;
     let mut merged: BTreeMap<(String, u64), BillView> = BTreeMap::new();
--- a/crates/cli/src/commands/status.rs
+++ b/crates/cli/src/commands/status.rs
@@ -1,4 +1,4 @@
-//! The fleet at a glance.
+//! `status`: state of all control replicas and routers.
 
 use super::Context;
 use crate::client::From;
--- a/crates/cli/src/commands/table.rs
+++ b/crates/cli/src/commands/table.rs
@@ -1,4 +1,4 @@
-//! Showing and editing rows.
+//! `table`: shows, edits, imports and exports rows.
 
 use super::Context;
 use super::edit::{Change, describe, make};
@@ -90,7 +90,7 @@
     make(context, change, !matches.get_flag("no-wait")).await
 }
 
-/// Rows of the file that differ from the table, each with the version it is based on.
+/// Rows of the file that differ from the table, each with the current row of the table.
 async fn differing(
     context: &Context,
     matches: &ArgMatches,
--- a/crates/cli/src/commands/watch.rs
+++ b/crates/cli/src/commands/watch.rs
@@ -1,4 +1,4 @@
-//! Following decisions live.
+//! `watch`: prints decisions of all routers as they are made.
 
 use super::Context;
 use super::explain::print_trace;
@@ -10,7 +10,7 @@
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
-/// Pause between two looks.
+/// Time between two requests to the routers.
 const LOOK_AGAIN_AFTER: Duration = Duration::from_millis(500);
 
 pub(crate) async fn run(context: &Context, seconds: Option<u64>) -> Result<ExitCode, CommandError> {
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -1,21 +1,21 @@
-//! Errors and the two forms of output.
+//! Command errors and the two output formats.
 
 use serde::Serialize;
 use thiserror::Error;
 
-/// Why a command did not do what it was asked to.
+/// Error of a command.
 #[derive(Debug, Error)]
 pub enum CommandError {
-    /// An argument or a file is wrong.
+    /// Invalid argument or file.
     #[error("{0}")]
     Usage(String),
-    /// No process of the fleet gave an answer that could be used.
+    /// No process of the fleet returned a usable response.
     #[error("{0}")]
     Fleet(String),
 }
 
 impl CommandError {
-    /// The process's exit code.
+    /// Exit code of the process.
     pub fn exit_code(&self) -> u8 {
         match self {
             Self::Usage(_) => 2,
@@ -24,12 +24,12 @@
     }
 }
 
-/// The form of a command's output.
+/// Output format of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Form {
-    /// For reading.
+    /// Plain text, for people.
     Text,
-    /// For programs.
+    /// JSON, for programs.
     Json,
 }
 
