--- a/crates/cli/src/client.rs
+++ b/crates/cli/src/client.rs
@@ -11,11 +11,11 @@
 use std::time::{Duration, Instant};
 
 /// Timeout of one request.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(6);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(6);
 /// Time during which an edit is retried before its outcome is reported as unknown.
 const EDIT_TIMEOUT: Duration = Duration::from_secs(15);
 /// Delay before an edit is retried.
-const EDIT_PAUSE: Duration = Duration::from_millis(200);
+const EDIT_RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// Sends an operator's requests to the fleet's processes.
 pub struct FleetClient {
@@ -26,11 +26,11 @@
 }
 
 /// Response of one machine.
-pub struct From<T> {
+pub struct MachineResponse<T> {
     /// The machine.
     pub machine: MachineName,
     /// The response, or the error of the request.
-    pub answer: Result<T, String>,
+    pub response: Result<T, String>,
 }
 
 impl FleetClient {
@@ -54,8 +54,8 @@
             .header("authorization", format!("Bearer {}", self.key))
             .body(Bytes::new())
             .map_err(|error| error.to_string())?;
-        let answered = self.client.exchange(request, ANSWER_TIMEOUT).await;
-        let (status, body) = answered.map_err(|error| error.reason)?;
+        let result = self.client.exchange(request, REQUEST_TIMEOUT).await;
+        let (status, body) = result.map_err(|error| error.reason)?;
         if status != StatusCode::OK {
             return Err(format!("status {status}: {}", String::from_utf8_lossy(&body)));
         }
@@ -63,35 +63,41 @@
     }
 
     /// Sends a GET request to every control replica.
-    pub async fn ask_replicas<T: DeserializeOwned>(&self, path: &str) -> Vec<From<T>> {
-        let mut answers = Vec::new();
+    pub async fn get_from_replicas<T: DeserializeOwned>(
+        &self,
+        path: &str,
+    ) -> Vec<MachineResponse<T>> {
+        let mut responses = Vec::new();
         for (machine, control) in self.settings.replicas() {
-            let answer = self.get(control.admin, path).await;
-            answers.push(From { machine: machine.name.clone(), answer });
+            let response = self.get(control.admin, path).await;
+            responses.push(MachineResponse { machine: machine.name.clone(), response });
         }
-        answers
+        responses
     }
 
     /// Sends a GET request to every router.
-    pub async fn ask_routers<T: DeserializeOwned>(&self, path: &str) -> Vec<From<T>> {
-        let mut answers = Vec::new();
+    pub async fn get_from_routers<T: DeserializeOwned>(
+        &self,
+        path: &str,
+    ) -> Vec<MachineResponse<T>> {
+        let mut responses = Vec::new();
         for (machine, router) in self.settings.routers() {
-            let answer = self.get(router.admin, path).await;
-            answers.push(From { machine: machine.name.clone(), answer });
+            let response = self.get(router.admin, path).await;
+            responses.push(MachineResponse { machine: machine.name.clone(), response });
         }
-        answers
+        responses
     }
 
     /// Sends a GET request to the replicas, leader first, until one of them responds.
-    pub async fn ask_best<T: DeserializeOwned>(&self, path: &str) -> Result<T, CommandError> {
-        let mut reasons = Vec::new();
+    pub async fn get_from_any<T: DeserializeOwned>(&self, path: &str) -> Result<T, CommandError> {
+        let mut errors = Vec::new();
         for address in self.replicas_leader_first().await {
             match self.get(address, path).await {
-                Ok(answer) => return Ok(answer),
-                Err(reason) => reasons.push(format!("{address}: {reason}")),
+                Ok(response) => return Ok(response),
+                Err(reason) => errors.push(format!("{address}: {reason}")),
             }
         }
-        Err(CommandError::Fleet(format!("no control replica answers: {}", reasons.join("; "))))
+        Err(CommandError::Fleet(format!("no control replica answers: {}", errors.join("; "))))
     }
 
     async fn replicas_leader_first(&self) -> Vec<SocketAddr> {
@@ -125,11 +131,11 @@
             let (_, address) = replicas[next % replicas.len()].clone();
             match self.post_edit(address, edit).await {
                 Ok(EditView::NotLeader { leader }) => {
-                    let known = leader
+                    let leader_index = leader
                         .as_ref()
                         .and_then(|leader| replicas.iter().position(|(name, _)| name == leader));
                     last_reason = "no leader is known".into();
-                    next = known.unwrap_or(next + 1);
+                    next = leader_index.unwrap_or(next + 1);
                 }
                 Ok(EditView::Unconfirmed) => last_reason = "the outcome is not known yet".into(),
                 Ok(view) => return Ok(view),
@@ -138,7 +144,7 @@
                     next += 1;
                 }
             }
-            tokio::time::sleep(EDIT_PAUSE).await;
+            tokio::time::sleep(EDIT_RETRY_DELAY).await;
         }
         Err(CommandError::Fleet(format!(
             "edit {} was not answered in {EDIT_TIMEOUT:?} ({last_reason}); it may yet take \
@@ -154,8 +160,8 @@
             .header("content-type", "application/json")
             .body(Bytes::from(body))
             .map_err(|error| error.to_string())?;
-        let answered = self.client.exchange(request, ANSWER_TIMEOUT).await;
-        let (status, body) = answered.map_err(|error| error.reason)?;
+        let result = self.client.exchange(request, REQUEST_TIMEOUT).await;
+        let (status, body) = result.map_err(|error| error.reason)?;
         serde_json::from_slice(&body)
             .map_err(|_| format!("status {status}: {}", String::from_utf8_lossy(&body)))
     }
--- a/crates/cli/src/commands/edit.rs
+++ b/crates/cli/src/commands/edit.rs
@@ -1,7 +1,7 @@
 //! Sends an edit and waits until it is in force.
 
 use super::Context;
-use crate::output::{CommandError, Form, print_json};
+use crate::output::{CommandError, OutputFormat, print_json};
 use serde_json::{Value, json};
 use stackpost_control::views::{EditRequest, EditView, RowView};
 use stackpost_control_core::ZoneProgress;
@@ -11,23 +11,23 @@
 use std::time::{Duration, Instant};
 
 /// Longest wait until an accepted edit is in force.
-const FOLLOW_FOR: Duration = Duration::from_secs(5);
+const FOLLOW_TIMEOUT: Duration = Duration::from_secs(5);
 /// Time between two status requests.
-const LOOK_AGAIN_AFTER: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Exit code when the row has been changed by another edit.
-const CONFLICT: u8 = 3;
+const EXIT_CONFLICT: u8 = 3;
 /// Exit code when an edit is not yet in force in every zone.
-const NOT_EVERYWHERE: u8 = 4;
+const EXIT_NOT_IN_FORCE: u8 = 4;
 
 /// A change of one table row.
-pub(crate) struct Change {
+pub(crate) struct RowChange {
     pub table: String,
     pub name: String,
     pub based_on: Version,
     pub row: Value,
 }
 
-impl Change {
+impl RowChange {
     /// Converts the change to a request with a new id.
     pub fn into_request(self) -> EditRequest {
         EditRequest {
@@ -41,32 +41,32 @@
 }
 
 /// Sends a change, prints its outcome, and if `follow` is set waits until it is in force.
-pub(crate) async fn make(
+pub(crate) async fn apply_change(
     context: &Context,
-    change: Change,
+    change: RowChange,
     follow: bool,
 ) -> Result<ExitCode, CommandError> {
     let label = format!("{}/{}", change.table, change.name);
     let request = change.into_request();
     let started = Instant::now();
     let view = context.fleet.edit(&request).await?;
-    if context.form == Form::Json {
+    if context.output_format == OutputFormat::Json {
         print_json(&view)?;
     } else {
-        println!("{}", describe(&label, &view));
+        println!("{}", describe_outcome(&label, &view));
     }
     match view {
         EditView::Accepted { version, .. } if follow => {
-            follow_into_force(context, version, started).await
+            wait_until_in_force(context, version, started).await
         }
         EditView::Accepted { .. } => Ok(ExitCode::SUCCESS),
-        EditView::Conflict { .. } => Ok(ExitCode::from(CONFLICT)),
+        EditView::Conflict { .. } => Ok(ExitCode::from(EXIT_CONFLICT)),
         _ => Ok(ExitCode::FAILURE),
     }
 }
 
 /// Describes the outcome of an edit.
-pub(crate) fn describe(label: &str, view: &EditView) -> String {
+pub(crate) fn describe_outcome(label: &str, view: &EditView) -> String {
     match view {
         EditView::Accepted { version, recall: None } => format!("{label}: version {version}"),
         EditView::Accepted { version, recall: Some(recall) } => format!(
@@ -92,16 +92,16 @@
     }
 }
 
-async fn follow_into_force(
+async fn wait_until_in_force(
     context: &Context,
     version: Version,
     started: Instant,
 ) -> Result<ExitCode, CommandError> {
     let mut in_force: BTreeMap<ZoneName, Duration> = BTreeMap::new();
     let mut zones: Vec<ZoneProgress> = Vec::new();
-    while started.elapsed() < FOLLOW_FOR {
+    while started.elapsed() < FOLLOW_TIMEOUT {
         let path = format!("/v1/in-force?version={version}");
-        zones = context.fleet.ask_best(&path).await?;
+        zones = context.fleet.get_from_any(&path).await?;
         for zone in &zones {
             let done = zone.routers > 0 && zone.in_force == zone.routers;
             if done && !in_force.contains_key(&zone.zone) {
@@ -111,28 +111,28 @@
         if in_force.len() == zones.len() {
             break;
         }
-        tokio::time::sleep(LOOK_AGAIN_AFTER).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
-    report(context, &zones, &in_force)?;
+    print_progress(context, &zones, &in_force)?;
     let everywhere = in_force.len() == zones.len();
-    Ok(if everywhere { ExitCode::SUCCESS } else { ExitCode::from(NOT_EVERYWHERE) })
+    Ok(if everywhere { ExitCode::SUCCESS } else { ExitCode::from(EXIT_NOT_IN_FORCE) })
 }
 
-fn report(
+fn print_progress(
     context: &Context,
     zones: &[ZoneProgress],
     in_force: &BTreeMap<ZoneName, Duration>,
 ) -> Result<(), CommandError> {
-    if context.form == Form::Json {
+    if context.output_format == OutputFormat::Json {
         let seconds: BTreeMap<_, _> =
             in_force.iter().map(|(zone, after)| (zone, after.as_secs_f64())).collect();
         return print_json(&json!({ "in_force_after_seconds": seconds }));
     }
-    let reached: Vec<String> = in_force
+    let completed: Vec<String> = in_force
         .iter()
         .map(|(zone, after)| format!("{zone} {:.2} s", after.as_secs_f64()))
         .collect();
-    let behind: Vec<String> = zones
+    let pending: Vec<String> = zones
         .iter()
         .filter(|zone| !in_force.contains_key(&zone.zone))
         .map(|zone| match zone.routers {
@@ -140,9 +140,9 @@
             routers => format!("{}: {} of {routers} routers", zone.zone, zone.in_force),
         })
         .collect();
-    println!("in force: {}", reached.join(", "));
-    if !behind.is_empty() {
-        println!("not yet: {}", behind.join("; "));
+    println!("in force: {}", completed.join(", "));
+    if !pending.is_empty() {
+        println!("not yet: {}", pending.join("; "));
     }
     Ok(())
 }
--- a/crates/cli/src/commands/explain.rs
+++ b/crates/cli/src/commands/explain.rs
@@ -1,8 +1,8 @@
 //! `explain`: the decisions made for one request.
 
 use super::Context;
-use crate::client::From;
-use crate::output::{CommandError, Form, print_json};
+use crate::client::MachineResponse;
+use crate::output::{CommandError, OutputFormat, print_json};
 use stackpost_router_core::Trace;
 use stackpost_types::RequestId;
 use std::process::ExitCode;
@@ -14,23 +14,25 @@
         return Err(CommandError::Usage("request: allowed: 32 hexadecimal digits".into()));
     }
     let path = format!("/v1/explain?request={request}");
-    let answers: Vec<From<Trace>> = context.fleet.ask_routers(&path).await;
-    let found: Vec<_> = answers.iter().filter(|from| from.answer.is_ok()).collect();
-    if context.form == Form::Json {
+    let responses: Vec<MachineResponse<Trace>> = context.fleet.get_from_routers(&path).await;
+    let with_trace: Vec<_> = responses.iter().filter(|reply| reply.response.is_ok()).collect();
+    if context.output_format == OutputFormat::Json {
         let traces: Vec<_> =
-            found.iter().map(|from| (&from.machine, from.answer.as_ref().ok())).collect();
+            with_trace.iter().map(|reply| (&reply.machine, reply.response.as_ref().ok())).collect();
         print_json(&traces)?;
     } else {
-        for from in &found {
-            if let Ok(trace) = &from.answer {
-                print_trace(from.machine.as_str(), trace);
+        for reply in &with_trace {
+            if let Ok(trace) = &reply.response {
+                print_trace(reply.machine.as_str(), trace);
             }
         }
     }
-    if found.is_empty() {
-        let reasons: Vec<String> = answers
+    if with_trace.is_empty() {
+        let reasons: Vec<String> = responses
             .iter()
-            .filter_map(|from| Some(format!("{}: {}", from.machine, from.answer.as_ref().err()?)))
+            .filter_map(|reply| {
+                Some(format!("{}: {}", reply.machine, reply.response.as_ref().err()?))
+            })
             .collect();
         return Err(CommandError::Fleet(format!("no router knows it: {}", reasons.join("; "))));
     }
--- a/crates/cli/src/commands/mod.rs
+++ b/crates/cli/src/commands/mod.rs
@@ -10,7 +10,7 @@
 
 use crate::arguments::{self, text};
 use crate::client::FleetClient;
-use crate::output::{CommandError, Form, print_columns, print_json};
+use crate::output::{CommandError, OutputFormat, print_columns, print_json};
 use clap::ArgMatches;
 use stackpost_settings::{FleetSettings, load};
 use stackpost_types::KeyHash;
@@ -21,7 +21,7 @@
 /// Fleet client and output format of a command.
 pub(crate) struct Context {
     pub fleet: FleetClient,
-    pub form: Form,
+    pub output_format: OutputFormat,
 }
 
 /// Runs the selected subcommand.
@@ -52,11 +52,11 @@
 fn open(matches: &ArgMatches) -> Result<Context, CommandError> {
     let path = |name: &str| matches.get_one::<PathBuf>(name).cloned().unwrap_or_default();
     let fleet = FleetClient::open(&path("settings"), &path("key-file"))?;
-    Ok(Context { fleet, form: form(matches) })
+    Ok(Context { fleet, output_format: output_format(matches) })
 }
 
-fn form(matches: &ArgMatches) -> Form {
-    if text(matches, "output") == "json" { Form::Json } else { Form::Text }
+fn output_format(matches: &ArgMatches) -> OutputFormat {
+    if text(matches, "output") == "json" { OutputFormat::Json } else { OutputFormat::Text }
 }
 
 fn key_hash() -> Result<ExitCode, CommandError> {
@@ -79,7 +79,7 @@
     let path = matches.get_one::<PathBuf>("settings").cloned().unwrap_or_default();
     let settings: FleetSettings =
         load(&path).map_err(|error| CommandError::Usage(error.to_string()))?;
-    if form(matches) == Form::Json {
+    if output_format(matches) == OutputFormat::Json {
         print_json(&settings.machines)?;
         return Ok(ExitCode::SUCCESS);
     }
--- a/crates/cli/src/commands/money.rs
+++ b/crates/cli/src/commands/money.rs
@@ -2,8 +2,8 @@
 
 use super::Context;
 use crate::arguments::text;
-use crate::client::From;
-use crate::output::{CommandError, Form, print_columns, print_json};
+use crate::client::MachineResponse;
+use crate::output::{CommandError, OutputFormat, print_columns, print_json};
 use clap::ArgMatches;
 use serde_json::Value;
 use stackpost_control::views::{BillView, BudgetView};
@@ -12,12 +12,12 @@
 use std::process::ExitCode;
 
 pub(crate) async fn budgets(context: &Context) -> Result<ExitCode, CommandError> {
-    let mut views: Vec<BudgetView> = context.fleet.ask_best("/v1/budgets").await?;
+    let mut views: Vec<BudgetView> = context.fleet.get_from_any("/v1/budgets").await?;
     let billed = billed_by_budget(&all_bills(context, "/v1/bills").await?);
     for view in &mut views {
         view.billed = billed.get(view.budget.as_str()).copied().unwrap_or_default();
     }
-    if context.form == Form::Json {
+    if context.output_format == OutputFormat::Json {
         print_json(&views)?;
         return Ok(ExitCode::SUCCESS);
     }
@@ -51,18 +51,19 @@
 /// Bills from all replicas that respond, without duplicates. Each bill is stored by a majority of
 /// the replicas.
 async fn all_bills(context: &Context, path: &str) -> Result<Vec<BillView>, CommandError> {
-    let answers: Vec<From<Vec<BillView>>> = context.fleet.ask_replicas(path).await;
+    let responses: Vec<MachineResponse<Vec<BillView>>> =
+        context.fleet.get_from_replicas(path).await;
     let mut merged: BTreeMap<(String, u64), BillView> = BTreeMap::new();
     let mut reached = 0;
-    for from in answers {
-        match from.answer {
+    for reply in responses {
+        match reply.response {
             Ok(views) => {
                 reached += 1;
                 for view in views {
                     merged.insert((view.account.clone(), view.bill.sequence), view);
                 }
             }
-            Err(reason) => eprintln!("not reached: control on {}: {reason}", from.machine),
+            Err(reason) => eprintln!("not reached: control on {}: {reason}", reply.machine),
         }
     }
     if reached == 0 {
@@ -88,7 +89,7 @@
     }
     let mut found = all_bills(context, &path).await?;
     found.sort_by_key(|view| view.bill.at);
-    if context.form == Form::Json {
+    if context.output_format == OutputFormat::Json {
         print_json(&found)?;
         return Ok(ExitCode::SUCCESS);
     }
@@ -119,8 +120,8 @@
     if matches.get_one::<String>("row").is_some() {
         path.push_str(&format!("&row={}", text(matches, "row")));
     }
-    let records: Vec<Value> = context.fleet.ask_best(&path).await?;
-    if context.form == Form::Json {
+    let records: Vec<Value> = context.fleet.get_from_any(&path).await?;
+    if context.output_format == OutputFormat::Json {
         print_json(&records)?;
         return Ok(ExitCode::SUCCESS);
     }
--- a/crates/cli/src/commands/status.rs
+++ b/crates/cli/src/commands/status.rs
@@ -1,29 +1,31 @@
 //! `status`: state of all control replicas and routers.
 
 use super::Context;
-use crate::client::From;
-use crate::output::{CommandError, Form, print_columns, print_json};
+use crate::client::MachineResponse;
+use crate::output::{CommandError, OutputFormat, print_columns, print_json};
 use serde_json::json;
 use stackpost_control::views::FleetView;
 use stackpost_router_core::RouterStatus;
 use std::process::ExitCode;
 
 pub(crate) async fn run(context: &Context) -> Result<ExitCode, CommandError> {
-    let replicas: Vec<From<FleetView>> = context.fleet.ask_replicas("/v1/status").await;
-    let routers: Vec<From<RouterStatus>> = context.fleet.ask_routers("/v1/status").await;
-    if context.form == Form::Json {
+    let replicas: Vec<MachineResponse<FleetView>> =
+        context.fleet.get_from_replicas("/v1/status").await;
+    let routers: Vec<MachineResponse<RouterStatus>> =
+        context.fleet.get_from_routers("/v1/status").await;
+    if context.output_format == OutputFormat::Json {
         let replicas: Vec<_> = replicas
             .iter()
-            .map(|from| {
-                json!({ "machine": from.machine, "status": from.answer.as_ref().ok(),
-                                "error": from.answer.as_ref().err() })
+            .map(|reply| {
+                json!({ "machine": reply.machine, "status": reply.response.as_ref().ok(),
+                                "error": reply.response.as_ref().err() })
             })
             .collect();
         let routers: Vec<_> = routers
             .iter()
-            .map(|from| {
-                json!({ "machine": from.machine, "status": from.answer.as_ref().ok(),
-                                "error": from.answer.as_ref().err() })
+            .map(|reply| {
+                json!({ "machine": reply.machine, "status": reply.response.as_ref().ok(),
+                                "error": reply.response.as_ref().err() })
             })
             .collect();
         print_json(&json!({ "control": replicas, "routers": routers }))?;
@@ -36,10 +38,10 @@
     Ok(ExitCode::SUCCESS)
 }
 
-fn print_replicas(replicas: &[From<FleetView>]) {
+fn print_replicas(replicas: &[MachineResponse<FleetView>]) {
     let rows: Vec<Vec<String>> = replicas
         .iter()
-        .filter_map(|from| from.answer.as_ref().ok())
+        .filter_map(|reply| reply.response.as_ref().ok())
         .map(|view| {
             let replica = &view.replica;
             let role = match (replica.has_lease, replica.is_leader, replica.is_voter) {
@@ -60,10 +62,10 @@
     print_columns(&["control", "role", "term", "version", "snapshot"], &rows);
 }
 
-fn print_routers(routers: &[From<RouterStatus>]) {
+fn print_routers(routers: &[MachineResponse<RouterStatus>]) {
     let rows: Vec<Vec<String>> = routers
         .iter()
-        .filter_map(|from| from.answer.as_ref().ok())
+        .filter_map(|reply| reply.response.as_ref().ok())
         .map(|status| {
             let state = match (status.ready, status.draining, status.solo) {
                 (_, true, _) => "draining",
@@ -88,13 +90,16 @@
     print_columns(&header, &rows);
 }
 
-fn print_unreachable(replicas: &[From<FleetView>], routers: &[From<RouterStatus>]) {
+fn print_unreachable(
+    replicas: &[MachineResponse<FleetView>],
+    routers: &[MachineResponse<RouterStatus>],
+) {
     let control = replicas
         .iter()
-        .filter_map(|from| Some((&from.machine, "control", from.answer.as_ref().err()?)));
+        .filter_map(|reply| Some((&reply.machine, "control", reply.response.as_ref().err()?)));
     let router = routers
         .iter()
-        .filter_map(|from| Some((&from.machine, "router", from.answer.as_ref().err()?)));
+        .filter_map(|reply| Some((&reply.machine, "router", reply.response.as_ref().err()?)));
     for (machine, role, reason) in control.chain(router) {
         println!("not reached: {role} on {machine}: {reason}");
     }
--- a/crates/cli/src/commands/table.rs
+++ b/crates/cli/src/commands/table.rs
@@ -1,10 +1,10 @@
 //! `table`: shows, edits, imports and exports rows.
 
 use super::Context;
-use super::edit::{Change, describe, make};
+use super::edit::{RowChange, apply_change, describe_outcome};
 use super::file::{FileRow, RowFile};
 use crate::arguments::text;
-use crate::output::{CommandError, Form, print_columns, print_json};
+use crate::output::{CommandError, OutputFormat, print_columns, print_json};
 use clap::ArgMatches;
 use serde_json::Value;
 use stackpost_control::views::{EditView, RowView};
@@ -26,7 +26,7 @@
 }
 
 async fn rows(context: &Context) -> Result<Vec<RowView>, CommandError> {
-    context.fleet.ask_best("/v1/table").await
+    context.fleet.get_from_any("/v1/table").await
 }
 
 async fn row(context: &Context, table: &str, name: &str) -> Result<Option<RowView>, CommandError> {
@@ -35,12 +35,12 @@
 }
 
 async fn show(context: &Context, matches: &ArgMatches) -> Result<ExitCode, CommandError> {
-    let wanted = |name: &str| matches.get_one::<String>(name).cloned();
-    let (table, name) = (wanted("table"), wanted("name"));
+    let argument = |name: &str| matches.get_one::<String>(name).cloned();
+    let (table, name) = (argument("table"), argument("name"));
     let mut found = rows(context).await?;
     found.retain(|row| table.as_ref().is_none_or(|table| row.table == *table));
     found.retain(|row| name.as_ref().is_none_or(|name| row.name == *name));
-    if context.form == Form::Json {
+    if context.output_format == OutputFormat::Json {
         print_json(&found)?;
     } else {
         let lines: Vec<Vec<String>> = found
@@ -71,8 +71,8 @@
     }
     let newest = current.map(|row| row.version).unwrap_or_default();
     let based_on = matches.get_one::<u64>("based-on").map_or(newest, |version| Version(*version));
-    let change = Change { table: table.into(), name: name.into(), based_on, row: content };
-    make(context, change, !matches.get_flag("no-wait")).await
+    let change = RowChange { table: table.into(), name: name.into(), based_on, row: content };
+    apply_change(context, change, !matches.get_flag("no-wait")).await
 }
 
 async fn delete(context: &Context, matches: &ArgMatches) -> Result<ExitCode, CommandError> {
@@ -81,25 +81,26 @@
     let Some(current) = current else {
         return Err(CommandError::Usage(format!("there is no {table}/{name}")));
     };
-    let change = Change {
+    let change = RowChange {
         table: table.into(),
         name: name.into(),
         based_on: current.version,
         row: Value::Null,
     };
-    make(context, change, !matches.get_flag("no-wait")).await
+    apply_change(context, change, !matches.get_flag("no-wait")).await
 }
 
 /// Rows of the file that differ from the table, each with the current row of the table.
-async fn differing(
+async fn changed_rows(
     context: &Context,
     matches: &ArgMatches,
 ) -> Result<Vec<(FileRow, Option<RowView>)>, CommandError> {
     let path = matches.get_one::<PathBuf>("file").cloned().unwrap_or_default();
     let file = RowFile::read(&path)?;
-    let held = rows(context).await?;
+    let current_rows = rows(context).await?;
     let pairs = file.0.into_iter().map(|entry| {
-        let current = held.iter().find(|row| row.table == entry.table && row.name == entry.name);
+        let current =
+            current_rows.iter().find(|row| row.table == entry.table && row.name == entry.name);
         (entry, current.cloned())
     });
     let differs = |(entry, current): &(FileRow, Option<RowView>)| {
@@ -109,17 +110,17 @@
 }
 
 async fn import(context: &Context, matches: &ArgMatches) -> Result<ExitCode, CommandError> {
-    let changes = differing(context, matches).await?;
+    let changes = changed_rows(context, matches).await?;
     let total = changes.len();
     let mut refused = 0;
     for (entry, current) in changes {
         let label = format!("{}/{}", entry.table, entry.name);
         let based_on = current.map(|row| row.version).unwrap_or_default();
-        let change = Change { table: entry.table, name: entry.name, based_on, row: entry.row };
+        let change = RowChange { table: entry.table, name: entry.name, based_on, row: entry.row };
         let view = context.fleet.edit(&change.into_request()).await?;
         if !matches!(view, EditView::Accepted { .. }) {
             refused += 1;
-            eprintln!("{}", describe(&label, &view));
+            eprintln!("{}", describe_outcome(&label, &view));
         }
     }
     println!("{} rows written, {refused} refused", total - refused);
@@ -127,7 +128,7 @@
 }
 
 async fn diff(context: &Context, matches: &ArgMatches) -> Result<ExitCode, CommandError> {
-    for (entry, current) in differing(context, matches).await? {
+    for (entry, current) in changed_rows(context, matches).await? {
         let label = format!("{}/{}", entry.table, entry.name);
         match current {
             Some(row) => println!("~ {label}\n  - {}\n  + {}", row.row, entry.row),
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -26,7 +26,7 @@
 
 /// Output format of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Form {
+pub enum OutputFormat {
     /// Plain text, for people.
     Text,
     /// JSON, for programs.
