--- a/crates/load/src/arguments.rs
+++ b/crates/load/src/arguments.rs
@@ -1,9 +1,9 @@
-//! The command line's shape.
+//! Definition of the command line.
 
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 use std::net::SocketAddr;
 
-/// The whole command.
+/// The command with all subcommands.
 pub fn command() -> Command {
     Command::new("stackpost-load")
         .about("Sends requests and measures the answers")
@@ -65,17 +65,17 @@
     Arg::new(name).long(name).default_value(default).value_parser(value_parser!(u64)).help(help)
 }
 
-/// The value of a number with a default.
+/// Value of a numeric argument; 0 if it is absent.
 pub fn value(matches: &ArgMatches, name: &str) -> u64 {
     matches.get_one::<u64>(name).copied().unwrap_or_default()
 }
 
-/// The value of a text.
+/// Value of a text argument; empty if it is absent.
 pub fn text(matches: &ArgMatches, name: &str) -> String {
     matches.get_one::<String>(name).cloned().unwrap_or_default()
 }
 
-/// The value of an address that is required.
+/// Value of a required address.
 pub fn address(matches: &ArgMatches, name: &str) -> SocketAddr {
-    *matches.get_one::<SocketAddr>(name).expect("required")
+    *matches.get_one::<SocketAddr>(name).expect("argument is required")
 }
--- a/crates/load/src/main.rs
+++ b/crates/load/src/main.rs
@@ -1,4 +1,4 @@
-//! `stackpost-load`: single requests, open-loop load, and the router measured against direct
+//! `stackpost-load`: sends single requests or open-loop load, and compares the router with direct
 //! calls of the same back end.
 
 mod arguments;
--- a/crates/load/src/open_loop.rs
+++ b/crates/load/src/open_loop.rs
@@ -1,8 +1,8 @@
-//! Open-loop load: requests leave on schedule whether or not earlier ones are answered, and times
-//! count from the schedule, so that a stall shows in every request it delays.
+//! Open-loop load: requests are sent on schedule, whether or not earlier ones have completed. Times
+//! are measured from the scheduled time, so that a stall counts in every request that it delays.
 
 use crate::arguments::value;
-use crate::request::Ask;
+use crate::request::RequestParameters;
 use clap::ArgMatches;
 use hdrhistogram::Histogram;
 use stackpost_http::Client;
@@ -11,42 +11,48 @@
 use std::time::{Duration, Instant};
 use tokio::task::JoinSet;
 
-/// Longest time a histogram holds, in microseconds.
-const LONGEST_US: u64 = 600_000_000;
+/// Largest value of a histogram, in microseconds.
+const MAX_TIME_US: u64 = 600_000_000;
 
-/// What a run measured; times in microseconds.
+/// Measurements of a run; times in microseconds.
 #[derive(Debug)]
-pub struct Measured {
-    /// Until the first byte of the answer.
-    pub first: Histogram<u64>,
-    /// Between pieces of the answer.
+pub struct Measurements {
+    /// Time to the first byte of the response body.
+    pub first_byte: Histogram<u64>,
+    /// Times between consecutive chunks of the body.
     pub gaps: Histogram<u64>,
-    /// Until the end of the answer.
+    /// Time to the end of the response.
     pub total: Histogram<u64>,
-    /// Answers by status; 0 stands for a failed connection.
+    /// Number of responses by status; 0 counts requests that failed without a complete response.
     pub statuses: BTreeMap<u16, u64>,
 }
 
-impl Measured {
-    /// Nothing measured yet.
+impl Measurements {
+    /// Empty measurements.
     pub fn new() -> Self {
-        let empty = || Histogram::new_with_bounds(1, LONGEST_US, 3).expect("bounds are in order");
-        Self { first: empty(), gaps: empty(), total: empty(), statuses: BTreeMap::new() }
+        let new_histogram =
+            || Histogram::new_with_bounds(1, MAX_TIME_US, 3).expect("histogram bounds are valid");
+        Self {
+            first_byte: new_histogram(),
+            gaps: new_histogram(),
+            total: new_histogram(),
+            statuses: BTreeMap::new(),
+        }
     }
 
-    /// Adds what another run measured.
-    pub fn add(&mut self, other: &Self) {
-        let both = [(&mut self.first, &other.first), (&mut self.gaps, &other.gaps)];
-        for (own, more) in both.into_iter().chain([(&mut self.total, &other.total)]) {
-            own.add(more).expect("same bounds");
+    /// Adds the measurements of another run.
+    pub fn merge(&mut self, other: &Self) {
+        let histograms = [(&mut self.first_byte, &other.first_byte), (&mut self.gaps, &other.gaps)];
+        for (own, added) in histograms.into_iter().chain([(&mut self.total, &other.total)]) {
+            own.add(added).expect("histograms have the same bounds");
         }
         for (status, count) in &other.statuses {
             *self.statuses.entry(*status).or_default() += count;
         }
     }
 
-    /// A line with the usual quantiles.
-    pub fn line(name: &str, histogram: &Histogram<u64>) -> String {
+    /// Formats a histogram's count, quantiles and maximum as one line.
+    pub fn format_line(name: &str, histogram: &Histogram<u64>) -> String {
         let at = |quantile: f64| histogram.value_at_quantile(quantile) as f64 / 1e3;
         format!(
             "{name}: n={} p50={:.3} p95={:.3} p99={:.3} max={:.3} ms",
@@ -59,49 +65,55 @@
     }
 }
 
-/// Sends `ask` at `rate` a second for `seconds`, and waits for every answer.
-pub async fn drive(client: &Client, ask: &Ask, rate: u64, seconds: u64) -> Measured {
-    let measured = Arc::new(Mutex::new(Measured::new()));
+/// Sends `parameters` at `rate` per second for `seconds`, and waits for all responses.
+pub async fn run_open_loop(
+    client: &Client,
+    parameters: &RequestParameters,
+    rate: u64,
+    seconds: u64,
+) -> Measurements {
+    let measurements = Arc::new(Mutex::new(Measurements::new()));
     let mut tasks = JoinSet::new();
     let started = Instant::now();
     let count = rate * seconds;
     for number in 0..count {
-        let due = started + Duration::from_secs_f64(number as f64 / rate as f64);
-        tokio::time::sleep_until(due.into()).await;
-        let (client, mut ask, measured) = (client.clone(), ask.clone(), measured.clone());
-        // Prompts differ, so that the prefix cache does not answer all of them.
-        ask.prompt = format!("{} #{number}", ask.prompt);
+        let scheduled_at = started + Duration::from_secs_f64(number as f64 / rate as f64);
+        tokio::time::sleep_until(scheduled_at.into()).await;
+        let (client, mut parameters, measurements) =
+            (client.clone(), parameters.clone(), measurements.clone());
+        // Prompts differ, so that not all of them are served from the prefix cache.
+        parameters.prompt = format!("{} #{number}", parameters.prompt);
         tasks.spawn(async move {
-            let late = due.elapsed();
-            let answer = ask.send(&client).await;
-            let mut measured = measured.lock().unwrap_or_else(PoisonError::into_inner);
-            let status = answer.as_ref().map_or(0, |timed| timed.status.as_u16());
-            *measured.statuses.entry(status).or_default() += 1;
-            if let Ok(timed) = answer
-                && timed.status.is_success()
+            let delay = scheduled_at.elapsed();
+            let response = parameters.send(&client).await;
+            let mut measurements = measurements.lock().unwrap_or_else(PoisonError::into_inner);
+            let status = response.as_ref().map_or(0, |response| response.status.as_u16());
+            *measurements.statuses.entry(status).or_default() += 1;
+            if let Ok(response) = response
+                && response.status.is_success()
             {
                 let micros = |span: Duration| span.as_micros() as u64;
-                measured.first.saturating_record(micros(timed.first + late));
-                measured.total.saturating_record(micros(timed.total + late));
-                for gap in timed.gaps {
-                    measured.gaps.saturating_record(micros(gap));
+                measurements.first_byte.saturating_record(micros(response.first_byte + delay));
+                measurements.total.saturating_record(micros(response.total + delay));
+                for gap in response.gaps {
+                    measurements.gaps.saturating_record(micros(gap));
                 }
             }
         });
     }
     while tasks.join_next().await.is_some() {}
-    let mut measured = measured.lock().unwrap_or_else(PoisonError::into_inner);
-    std::mem::replace(&mut *measured, Measured::new())
+    let mut measurements = measurements.lock().unwrap_or_else(PoisonError::into_inner);
+    std::mem::replace(&mut *measurements, Measurements::new())
 }
 
-/// Runs load and prints what was measured.
+/// Runs the load and prints the measurements.
 pub async fn run(matches: &ArgMatches) -> Result<(), String> {
-    let ask = Ask::from_matches(matches);
+    let parameters = RequestParameters::from_matches(matches);
     let (rate, seconds) = (value(matches, "rate"), value(matches, "seconds"));
-    let measured = drive(&Client::default(), &ask, rate, seconds).await;
-    println!("{}", Measured::line("first byte", &measured.first));
-    println!("{}", Measured::line("between pieces", &measured.gaps));
-    println!("{}", Measured::line("total", &measured.total));
-    println!("statuses: {:?}", measured.statuses);
+    let measurements = run_open_loop(&Client::default(), &parameters, rate, seconds).await;
+    println!("{}", Measurements::format_line("first byte", &measurements.first_byte));
+    println!("{}", Measurements::format_line("between pieces", &measurements.gaps));
+    println!("{}", Measurements::format_line("total", &measurements.total));
+    println!("statuses: {:?}", measurements.statuses);
     Ok(())
 }
--- a/crates/load/src/request.rs
+++ b/crates/load/src/request.rs
@@ -1,4 +1,4 @@
-//! One request, sent and timed.
+//! Sends one request and measures its times.
 
 use crate::arguments::{address, text, value};
 use clap::ArgMatches;
@@ -9,50 +9,50 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// What is asked for.
+/// Parameters of a request.
 #[derive(Clone, Debug)]
-pub struct Ask {
-    /// Where it is sent.
+pub struct RequestParameters {
+    /// Address of the router or engine.
     pub address: SocketAddr,
-    /// The tenant's key.
+    /// API key of the tenant.
     pub key: String,
-    /// The model.
+    /// Model name.
     pub model: String,
-    /// The prompt.
+    /// Content of the user message.
     pub prompt: String,
     /// Most tokens to generate.
     pub max_tokens: u64,
-    /// Whether the answer is streamed.
+    /// Whether the response is streamed.
     pub stream: bool,
-    /// The idempotency key.
+    /// Value of the `idempotency-key` header.
     pub idempotency_key: Option<String>,
-    /// A path of a plain service, in place of a chat request.
+    /// Path of a plain service; without it a chat request is sent.
     pub path: Option<String>,
 }
 
-/// An answer and its times, from the sending on.
+/// A response and its times, measured from the start of sending.
 #[derive(Debug)]
-pub struct Timed {
-    /// The status.
+pub struct TimedResponse {
+    /// Response status.
     pub status: StatusCode,
-    /// The headers.
+    /// Response headers.
     pub headers: HeaderMap,
-    /// The whole body.
+    /// Complete body.
     pub body: Vec<u8>,
-    /// Until the first byte of the body.
-    pub first: Duration,
-    /// Between pieces of the body.
+    /// Time to the first byte of the body.
+    pub first_byte: Duration,
+    /// Times between consecutive chunks of the body.
     pub gaps: Vec<Duration>,
-    /// Until the end.
+    /// Time to the end of the body.
     pub total: Duration,
 }
 
-impl Ask {
-    /// Reads the arguments that all commands share.
+impl RequestParameters {
+    /// Builds the parameters from the arguments of a subcommand.
     pub fn from_matches(matches: &ArgMatches) -> Self {
         let optional = |name: &str| {
-            let known = matches.try_get_one::<String>(name);
-            known.ok().flatten().cloned()
+            let value = matches.try_get_one::<String>(name);
+            value.ok().flatten().cloned()
         };
         Self {
             address: address(matches, "api"),
@@ -89,72 +89,72 @@
         request.body(Client::whole(body)).map_err(|error| error.to_string())
     }
 
-    /// Sends the request and reads the answer.
-    pub async fn send(&self, client: &Client) -> Result<Timed, String> {
+    /// Sends the request and reads the complete response.
+    pub async fn send(&self, client: &Client) -> Result<TimedResponse, String> {
         let request = self.build()?;
         let started = Instant::now();
-        let answer = client.send(request).await.map_err(|error| error.reason)?;
-        let status = answer.status();
-        let headers = answer.headers().clone();
-        let mut body = answer.into_body();
-        let mut timed = Timed {
+        let head = client.send(request).await.map_err(|error| error.reason)?;
+        let status = head.status();
+        let headers = head.headers().clone();
+        let mut body = head.into_body();
+        let mut response = TimedResponse {
             status,
             headers,
             body: Vec::new(),
-            first: Duration::ZERO,
+            first_byte: Duration::ZERO,
             gaps: Vec::new(),
             total: Duration::ZERO,
         };
-        let mut last: Option<Instant> = None;
+        let mut last_chunk_at: Option<Instant> = None;
         while let Some(frame) = body.frame().await {
             let frame = frame.map_err(|error| format!("receive: {error}"))?;
             let Ok(data) = frame.into_data() else {
                 continue;
             };
             let now = Instant::now();
-            match last {
-                None => timed.first = now - started,
-                Some(before) => timed.gaps.push(now - before),
+            match last_chunk_at {
+                None => response.first_byte = now - started,
+                Some(previous) => response.gaps.push(now - previous),
             }
-            last = Some(now);
-            timed.body.extend_from_slice(&data);
+            last_chunk_at = Some(now);
+            response.body.extend_from_slice(&data);
         }
-        timed.total = started.elapsed();
-        Ok(timed)
+        response.total = started.elapsed();
+        Ok(response)
     }
 }
 
-/// Sends one request and shows who served it and what it cost.
+/// Sends one request and prints its status, back end, cost and times.
 pub async fn run(matches: &ArgMatches) -> Result<(), String> {
-    let ask = Ask::from_matches(matches);
-    let timed = ask.send(&Client::default()).await?;
+    let parameters = RequestParameters::from_matches(matches);
+    let response = parameters.send(&Client::default()).await?;
     let header = |name: &str| {
-        let value = timed.headers.get(name).and_then(|value| value.to_str().ok());
+        let value = response.headers.get(name).and_then(|value| value.to_str().ok());
         value.unwrap_or("-").to_string()
     };
     println!(
         "status={} request={} back_end={} cost={} first_ms={:.1} total_ms={:.1}",
-        timed.status.as_u16(),
+        response.status.as_u16(),
         header("x-request-id"),
         header("x-stackpost-back-end"),
-        cost_of(&timed),
-        timed.first.as_secs_f64() * 1e3,
-        timed.total.as_secs_f64() * 1e3,
+        cost_of(&response),
+        response.first_byte.as_secs_f64() * 1e3,
+        response.total.as_secs_f64() * 1e3,
     );
-    if !timed.status.is_success() {
-        println!("{}", String::from_utf8_lossy(&timed.body));
-        return Err(format!("status {}", timed.status));
+    if !response.status.is_success() {
+        println!("{}", String::from_utf8_lossy(&response.body));
+        return Err(format!("status {}", response.status));
     }
     Ok(())
 }
 
-/// Tokens that the answer says it cost.
-fn cost_of(timed: &Timed) -> String {
-    let text = String::from_utf8_lossy(&timed.body);
+/// Cost in tokens as stated in the response.
+fn cost_of(response: &TimedResponse) -> String {
+    let text = String::from_utf8_lossy(&response.body);
     if let Some((_, after)) = text.rsplit_once("billed=") {
         return after.trim().to_string();
     }
-    let whole: Option<Value> = serde_json::from_slice(&timed.body).ok();
-    let tokens = whole.and_then(|answer| answer["usage"]["total_tokens"].as_u64());
+    let json: Option<Value> = serde_json::from_slice(&response.body).ok();
+    let tokens = json.and_then(|json| json["usage"]["total_tokens"].as_u64());
     tokens.map_or("per route".into(), |tokens| tokens.to_string())
 }
