--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -1,4 +1,4 @@
-//! Clients by `hyper-util`, with the behaviour the fleet needs.
+//! HTTP client based on `hyper-util`.
 
 use crate::server::BodyAborted;
 use http_body_util::{BodyExt, Full, combinators::UnsyncBoxBody};
@@ -15,23 +15,23 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Longest wait for a connection.
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
-/// Connections without use are closed after this long. Shorter than the servers' own limit, so
-/// that a request does not meet a connection that is just being closed.
+/// Idle connections are closed after this time. It is shorter than the servers' own idle timeout,
+/// so that a request is not sent on a connection that the server is closing.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// The body of a request.
 pub type ClientBody = UnsyncBoxBody<Bytes, BodyAborted>;
-/// An answer whose body has not been read.
+/// A response whose body has not been read yet.
 pub type ClientAnswer = Response<Incoming>;
 
-/// Why a request failed.
+/// Error of a failed request.
 #[derive(Debug)]
 pub struct ClientError {
-    /// Whether it is certain that nothing of the request was sent.
+    /// Whether it is certain that no part of the request was sent.
     pub not_sent: bool,
-    /// What went wrong.
+    /// Failed step and its error.
     pub reason: String,
 }
 
@@ -41,7 +41,7 @@
     }
 }
 
-/// A client that keeps connections open and never repeats a request by itself.
+/// A client that reuses connections and never retries a request on its own.
 #[derive(Clone, Debug)]
 pub struct Client {
     inner: LegacyClient<HttpConnector, ClientBody>,
@@ -54,58 +54,58 @@
 }
 
 impl Client {
-    /// Sends a request and waits for the head of the answer.
+    /// Sends a request and waits for the head of the response.
     pub async fn send(&self, request: Request<ClientBody>) -> Result<ClientAnswer, ClientError> {
         self.inner.request(request).await.map_err(into_error)
     }
 
-    /// Sends a request with a whole body and reads the whole answer, within `limit`.
+    /// Sends a request with a complete body and reads the complete response, within `limit`.
     pub async fn exchange(
         &self,
         request: Request<Bytes>,
         limit: Duration,
     ) -> Result<(StatusCode, Bytes), ClientError> {
         let request = request.map(Self::whole);
-        let work = async {
-            let answer = self.send(request).await?;
-            let status = answer.status();
-            let body = answer.into_body().collect().await.map_err(|error| ClientError {
+        let round_trip = async {
+            let response = self.send(request).await?;
+            let status = response.status();
+            let body = response.into_body().collect().await.map_err(|error| ClientError {
                 not_sent: false,
                 reason: format!("receive: {error}"),
             })?;
             Ok((status, body.to_bytes()))
         };
-        tokio::time::timeout(limit, work).await.unwrap_or_else(|_| {
+        tokio::time::timeout(limit, round_trip).await.unwrap_or_else(|_| {
             Err(ClientError { not_sent: false, reason: format!("no answer in {limit:?}") })
         })
     }
 
-    /// A client that opens a connection for every request, so that a refused connection proves
-    /// that nothing was sent and no request meets a connection that is being closed.
+    /// A client that opens a new connection for every request, so that a connect error proves that
+    /// nothing was sent, and no request is sent on a connection that the server is closing.
     pub fn unpooled() -> Self {
         Self::build(0)
     }
 
-    fn build(idle_per_host: usize) -> Self {
+    fn build(max_idle_per_host: usize) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
         let inner = LegacyClient::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
             .pool_idle_timeout(IDLE_TIMEOUT)
-            .pool_max_idle_per_host(idle_per_host)
-            // A repeated request could run twice: whether to repeat is the router's decision.
+            .pool_max_idle_per_host(max_idle_per_host)
+            // A retried request could be executed twice; the router decides on retries.
             .retry_canceled_requests(false)
             .build(connector);
         Self { inner }
     }
 
-    /// A body that comes piece by piece; an error in it breaks the request off.
-    pub fn streamed(pieces: mpsc::Receiver<Result<Bytes, BodyAborted>>) -> ClientBody {
-        PieceBody(pieces).boxed_unsync()
+    /// A body streamed from a channel; an error in the channel aborts the request.
+    pub fn streamed(chunks: mpsc::Receiver<Result<Bytes, BodyAborted>>) -> ClientBody {
+        ChannelBody(chunks).boxed_unsync()
     }
 
-    /// A body that is there whole.
+    /// A buffered body.
     pub fn whole(bytes: Bytes) -> ClientBody {
         Full::new(bytes).map_err(|never| match never {}).boxed_unsync()
     }
@@ -118,9 +118,9 @@
     ClientError { not_sent, reason: format!("{step}: {error}{cause}") }
 }
 
-struct PieceBody(mpsc::Receiver<Result<Bytes, BodyAborted>>);
+struct ChannelBody(mpsc::Receiver<Result<Bytes, BodyAborted>>);
 
-impl Body for PieceBody {
+impl Body for ChannelBody {
     type Data = Bytes;
     type Error = BodyAborted;
 
@@ -128,6 +128,6 @@
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyAborted>>> {
-        self.0.poll_recv(context).map(|piece| piece.map(|result| result.map(Frame::data)))
+        self.0.poll_recv(context).map(|chunk| chunk.map(|result| result.map(Frame::data)))
     }
 }
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,8 +1,7 @@
-//! HTTP as the fleet's processes use it: servers by `xitca-web`, clients by `hyper-util`.
+//! HTTP for the fleet's processes: servers based on `xitca-web`, clients based on `hyper-util`.
 //!
-//! The server is wrapped for one reason: `xitca-web` does not tell a handler that its caller has
-//! closed the connection. [`ConnectionWatch`] looks at the socket itself, so that a request that
-//! waits can be given up.
+//! `xitca-web` does not notify a handler when its caller closes the connection. [`ConnectionWatch`]
+//! therefore polls the socket itself, so that a waiting request can be cancelled.
 
 mod client;
 mod server;
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -1,4 +1,4 @@
-//! A small server around `xitca-web`.
+//! HTTP server based on `xitca-web`.
 
 use crate::watch::{ConnectionWatch, Connections, WatchedListener};
 use hyper::body::Bytes;
@@ -16,27 +16,27 @@
 use xitca_web::http::{WebRequest, WebResponse};
 use xitca_web::service::fn_service;
 
-/// Largest block of request headers that is read.
+/// Largest head of a request, in bytes.
 const MAX_HEADER_BYTES: usize = 64 * 1024;
 
-/// The body of a request, read piece by piece.
+/// Streamed body of a request.
 pub struct RequestStream(RequestBody);
 
-/// Why a body could not be read.
+/// Error while reading a request body.
 #[derive(Debug)]
 pub enum BodyError {
-    /// It is longer than allowed.
+    /// The body exceeds the limit.
     TooLarge,
-    /// The caller stopped sending in the middle.
+    /// The connection failed or was closed before the end of the body.
     Incomplete(String),
 }
 
 impl RequestStream {
-    /// The next piece; `None` at the end.
+    /// The next chunk; `None` at the end.
     pub async fn next(&mut self) -> Option<Result<Bytes, BodyError>> {
         loop {
-            let polled = std::future::poll_fn(|context| Pin::new(&mut self.0).poll_frame(context));
-            match polled.await? {
+            let frame = std::future::poll_fn(|context| Pin::new(&mut self.0).poll_frame(context));
+            match frame.await? {
                 Ok(Frame::Data(data)) => return Some(Ok(data)),
                 Ok(Frame::Trailers(_)) => {}
                 Err(error) => return Some(Err(BodyError::Incomplete(error.to_string()))),
@@ -44,75 +44,76 @@
         }
     }
 
-    /// The whole body, if it has at most `limit` bytes.
+    /// Reads the complete body; an error if it has more than `limit` bytes.
     pub async fn read_all(&mut self, limit: usize) -> Result<Bytes, BodyError> {
         let mut whole = Vec::new();
-        while let Some(piece) = self.next().await {
-            let piece = piece?;
-            if whole.len() + piece.len() > limit {
+        while let Some(chunk) = self.next().await {
+            let chunk = chunk?;
+            if whole.len() + chunk.len() > limit {
                 return Err(BodyError::TooLarge);
             }
-            whole.extend_from_slice(&piece);
+            whole.extend_from_slice(&chunk);
         }
         Ok(whole.into())
     }
 }
 
-/// One request with all that is known about its connection.
+/// A request with the address and the state of its connection.
 pub struct Exchange {
-    /// The method.
+    /// Request method.
     pub method: Method,
     /// Path and query.
     pub uri: Uri,
-    /// The headers.
+    /// Request headers.
     pub headers: HeaderMap,
-    /// The body.
+    /// Request body.
     pub body: RequestStream,
-    /// The caller's address.
+    /// Address of the caller.
     pub peer: SocketAddr,
-    /// Tells when the caller goes away.
+    /// Reports when the caller closes the connection; `None` if the connection is not known.
     pub watch: Option<ConnectionWatch>,
 }
 
-/// A body that must not look complete: the connection is closed in its middle.
+/// Error that aborts a body: the connection is closed in the middle of it, so that the receiver
+/// does not take the body for complete.
 #[derive(Debug)]
 pub struct BodyAborted;
 
 impl fmt::Display for BodyAborted {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        formatter.write_str("the answer was cut off")
+        formatter.write_str("body aborted before its end")
     }
 }
 
 impl std::error::Error for BodyAborted {}
 
-/// The body of an answer.
+/// Body of a response.
 pub enum AnswerBody {
-    /// All of it.
+    /// Buffered body.
     Whole(Bytes),
-    /// Piece by piece, until the channel closes.
+    /// Body streamed from a channel, until the channel closes.
     Stream(mpsc::Receiver<Result<Bytes, BodyAborted>>),
 }
 
-/// An answer.
+/// A response.
 pub struct Answer {
-    /// Its status.
+    /// Response status.
     pub status: StatusCode,
-    /// Its headers.
+    /// Response headers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Response body.
     pub body: AnswerBody,
 }
 
 impl Answer {
-    /// An answer with a whole body.
+    /// A response with a buffered body.
     pub fn whole(status: StatusCode, content_type: &'static str, body: impl Into<Bytes>) -> Self {
         let mut headers = HeaderMap::new();
         headers.insert(hyper::header::CONTENT_TYPE, HeaderValue::from_static(content_type));
         Self { status, headers, body: AnswerBody::Whole(body.into()) }
     }
 
-    /// An answer in JSON.
+    /// A response in JSON; status 500 if `value` cannot be serialized.
     pub fn json(status: StatusCode, value: &impl serde::Serialize) -> Self {
         match serde_json::to_vec(value) {
             Ok(body) => Self::whole(status, "application/json", body),
@@ -120,12 +121,12 @@
         }
     }
 
-    /// An answer in plain text.
+    /// A response in plain text.
     pub fn text(status: StatusCode, text: impl Into<String>) -> Self {
         Self::whole(status, "text/plain; charset=utf-8", text.into())
     }
 
-    /// Adds a header; one that can't be written is left out.
+    /// Adds a header; an invalid value is ignored.
     pub fn with_header(mut self, name: &'static str, value: &str) -> Self {
         if let Ok(value) = HeaderValue::from_str(value) {
             self.headers.insert(HeaderName::from_static(name), value);
@@ -134,30 +135,30 @@
     }
 }
 
-/// How a server is run.
+/// Configuration of a server.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerOptions {
-    /// Where it listens.
+    /// Listen address.
     pub address: SocketAddr,
-    /// Threads that handle requests.
+    /// Number of threads that handle requests.
     pub threads: usize,
 }
 
-/// Serves `handler` for ever, on threads of the server's own. The listener is bound before this
-/// returns.
+/// Starts a server that calls `handler` for every request, on threads of its own, until the process
+/// ends. The listener is bound when this returns.
 pub fn serve<H, F>(options: ServerOptions, handler: H) -> Result<(), PeerError>
 where
     H: Fn(Exchange) -> F + Clone + Send + Sync + 'static,
     F: Future<Output = Answer> + 'static,
 {
-    let failed = |error: std::io::Error| PeerError::new(Step::Listen, options.address, error);
-    let listener = std::net::TcpListener::bind(options.address).map_err(failed)?;
+    let listen_error = |error: std::io::Error| PeerError::new(Step::Listen, options.address, error);
+    let listener = std::net::TcpListener::bind(options.address).map_err(listen_error)?;
     let connections = Connections::default();
-    let watched = WatchedListener { listener, connections: connections.clone() };
-    let lookup = connections.clone();
+    let listener = WatchedListener { listener, connections: connections.clone() };
+    let service_connections = connections.clone();
     let service = fn_service(move |request: WebRequest<RequestBody>| {
         let handler = handler.clone();
-        let connections = lookup.clone();
+        let connections = service_connections.clone();
         async move {
             let exchange = into_exchange(request, &connections);
             Ok::<_, Infallible>(into_response(handler(exchange).await))
@@ -167,12 +168,12 @@
         .worker_threads(options.threads)
         .disable_signal()
         .max_read_buf_size::<MAX_HEADER_BYTES>()
-        .listen(watched)
-        .map_err(failed)?;
+        .listen(listener)
+        .map_err(listen_error)?;
     std::thread::Builder::new()
         .name("http-server".into())
         .spawn(move || run_server(server.run(), connections))
-        .map_err(failed)?;
+        .map_err(listen_error)?;
     Ok(())
 }
 
@@ -180,19 +181,19 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     match runtime {
         Ok(runtime) => runtime.block_on(async {
-            tokio::spawn(connections.keep_swept());
+            tokio::spawn(connections.run_cleanup());
             if let Err(error) = server.await {
-                log::error!("http server ended: {error}");
+                log::error!("HTTP server stopped: {error}");
             }
         }),
-        Err(error) => log::error!("http server can't start: {error}"),
+        Err(error) => log::error!("start of the HTTP server's runtime failed: {error}"),
     }
 }
 
 fn into_exchange(request: WebRequest<RequestBody>, connections: &Connections) -> Exchange {
-    let (parts, extended) = request.into_parts();
-    let peer = *extended.socket_addr();
-    let (_, body) = extended.replace_body(());
+    let (parts, extension) = request.into_parts();
+    let peer = *extension.socket_addr();
+    let (_, body) = extension.replace_body(());
     Exchange {
         method: parts.method,
         uri: parts.uri,
@@ -206,7 +207,7 @@
 fn into_response(answer: Answer) -> WebResponse<ResponseBody> {
     let body = match answer.body {
         AnswerBody::Whole(bytes) => ResponseBody::bytes(bytes),
-        AnswerBody::Stream(pieces) => ResponseBody::boxed(PieceBody(pieces)),
+        AnswerBody::Stream(chunks) => ResponseBody::boxed(ChannelBody(chunks)),
     };
     let mut response = WebResponse::new(body);
     *response.status_mut() = answer.status;
@@ -214,9 +215,9 @@
     response
 }
 
-struct PieceBody(mpsc::Receiver<Result<Bytes, BodyAborted>>);
+struct ChannelBody(mpsc::Receiver<Result<Bytes, BodyAborted>>);
 
-impl Body for PieceBody {
+impl Body for ChannelBody {
     type Data = Bytes;
     type Error = BodyAborted;
 
@@ -224,7 +225,7 @@
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyAborted>>> {
-        self.0.poll_recv(context).map(|piece| piece.map(|result| result.map(Frame::Data)))
+        self.0.poll_recv(context).map(|chunk| chunk.map(|result| result.map(Frame::Data)))
     }
 
     fn size_hint(&self) -> SizeHint {
--- a/crates/http/src/watch.rs
+++ b/crates/http/src/watch.rs
@@ -1,4 +1,4 @@
-//! Noticing that a caller has closed its connection.
+//! Detects that a caller has closed its connection.
 
 use rustix::event::{PollFd, PollFlags, poll};
 use rustix::time::Timespec;
@@ -13,20 +13,20 @@
 use xitca_io::net::Stream;
 use xitca_server::net::{IntoListener, Listen};
 
-/// Time between two looks at a socket.
-const LOOK_INTERVAL: Duration = Duration::from_millis(200);
+/// Time between two polls of a socket.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A second handle of an accepted socket, beside the server's own.
+/// A second handle of an accepted socket; the server owns the first.
 #[derive(Debug)]
-struct Watched {
+struct WatchedSocket {
     handle: TcpStream,
-    /// The server's own handle: a descriptor number and the socket's inode, by which a reuse of
-    /// the number is noticed.
+    /// The server's file descriptor. Together with the socket's inode it shows whether the number
+    /// has been reused.
     server_fd: RawFd,
     inode: u64,
 }
 
-impl Watched {
+impl WatchedSocket {
     fn new(stream: &TcpStream) -> io::Result<Self> {
         let handle = stream.try_clone()?;
         let inode = inode_of(handle.as_raw_fd())?;
@@ -35,8 +35,8 @@
 
     fn is_closed_by_peer(&self) -> bool {
         let mut fds = [PollFd::new(&self.handle, PollFlags::RDHUP)];
-        let at_once = Timespec { tv_sec: 0, tv_nsec: 0 };
-        match poll(&mut fds, Some(&at_once)) {
+        let no_wait = Timespec { tv_sec: 0, tv_nsec: 0 };
+        match poll(&mut fds, Some(&no_wait)) {
             Ok(_) => {
                 fds[0].revents().intersects(PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR)
             }
@@ -44,8 +44,8 @@
         }
     }
 
-    /// Whether the server has let go of the socket. As long as this second handle is open, that
-    /// alone would not close the connection.
+    /// Whether the server has closed its handle of the socket. The connection itself stays open as
+    /// long as this second handle is open.
     fn is_closed_by_server(&self) -> bool {
         inode_of(self.server_fd).ok() != Some(self.inode)
     }
@@ -55,9 +55,9 @@
     std::fs::metadata(format!("/proc/self/fd/{fd}")).map(|metadata| metadata.ino())
 }
 
-/// Tells whether a caller is still there.
+/// Reports whether a caller has closed its connection.
 #[derive(Clone, Debug)]
-pub struct ConnectionWatch(Arc<Watched>);
+pub struct ConnectionWatch(Arc<WatchedSocket>);
 
 impl ConnectionWatch {
     /// Whether the caller has closed its side of the connection.
@@ -65,84 +65,84 @@
         self.0.is_closed_by_peer()
     }
 
-    /// Returns once the caller has closed its side of the connection.
+    /// Waits until the caller has closed its side of the connection.
     pub async fn closed(&self) {
         while !self.is_closed() {
-            tokio::time::sleep(LOOK_INTERVAL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
 
 /// The open connections of one server.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Connections(Arc<Mutex<HashMap<SocketAddr, Arc<Watched>>>>);
+pub(crate) struct Connections(Arc<Mutex<HashMap<SocketAddr, Arc<WatchedSocket>>>>);
 
 impl Connections {
     pub fn watch(&self, peer: &SocketAddr) -> Option<ConnectionWatch> {
         self.lock().get(peer).cloned().map(ConnectionWatch)
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, HashMap<SocketAddr, Arc<Watched>>> {
+    fn lock(&self) -> std::sync::MutexGuard<'_, HashMap<SocketAddr, Arc<WatchedSocket>>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn insert(&self, peer: SocketAddr, stream: &TcpStream) {
-        match Watched::new(stream) {
-            Ok(watched) => {
-                self.lock().insert(peer, Arc::new(watched));
+    fn register(&self, peer: SocketAddr, stream: &TcpStream) {
+        match WatchedSocket::new(stream) {
+            Ok(socket) => {
+                self.lock().insert(peer, Arc::new(socket));
             }
-            Err(error) => log::warn!("watch connection of {peer}: {error}"),
+            Err(error) => log::warn!("watch of the connection from {peer} failed: {error}"),
         }
     }
 
-    /// Lets go of connections that either side has closed.
-    fn sweep(&self) {
-        self.lock().retain(|_, watched| {
-            let ended = watched.is_closed_by_server();
-            if ended {
-                // The peer may have gone already; there is nothing left to report then.
-                let _ = watched.handle.shutdown(Shutdown::Both);
+    /// Shuts down and removes connections that the server has closed.
+    fn remove_closed(&self) {
+        self.lock().retain(|_, socket| {
+            let closed = socket.is_closed_by_server();
+            if closed {
+                // Fails if the peer has already closed the connection, which needs no handling.
+                let _ = socket.handle.shutdown(Shutdown::Both);
             }
-            !ended
+            !closed
         });
     }
 
-    /// Sweeps for ever.
-    pub async fn keep_swept(self) {
+    /// Removes closed connections periodically; never returns.
+    pub async fn run_cleanup(self) {
         loop {
-            tokio::time::sleep(LOOK_INTERVAL).await;
-            self.sweep();
+            tokio::time::sleep(POLL_INTERVAL).await;
+            self.remove_closed();
         }
     }
 }
 
-/// Accepts connections and keeps a watch on each.
+/// A listener that registers each accepted connection in `connections`.
 pub(crate) struct WatchedListener {
     pub listener: std::net::TcpListener,
     pub connections: Connections,
 }
 
 impl IntoListener for WatchedListener {
-    type Listener = Watching;
+    type Listener = AsyncWatchedListener;
 
     fn into_listener(self) -> io::Result<Self::Listener> {
         self.listener.set_nonblocking(true)?;
         let listener = TcpListener::from_std(self.listener)?;
-        Ok(Watching { listener, connections: self.connections })
+        Ok(AsyncWatchedListener { listener, connections: self.connections })
     }
 }
 
-pub(crate) struct Watching {
+pub(crate) struct AsyncWatchedListener {
     listener: TcpListener,
     connections: Connections,
 }
 
-impl Listen for Watching {
+impl Listen for AsyncWatchedListener {
     async fn accept(&self) -> io::Result<Stream> {
         let (stream, peer) = self.listener.accept().await?;
         stream.set_nodelay(true)?;
         let stream = stream.into_std()?;
-        self.connections.insert(peer, &stream);
+        self.connections.register(peer, &stream);
         Ok(Stream::Tcp(stream, peer))
     }
 }
--- a/crates/standins/src/arguments.rs
+++ b/crates/standins/src/arguments.rs
@@ -1,10 +1,10 @@
-//! Command-line pieces that the stand-ins share.
+//! Command-line arguments and start-up shared by the stand-ins.
 
 use clap::{Arg, Command};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// A command with the arguments every stand-in takes.
+/// A command with the arguments common to all stand-ins.
 pub fn command(name: &'static str, about: &'static str) -> Command {
     let address = Arg::new("address")
         .long("address")
@@ -20,7 +20,7 @@
     Command::new(name).about(about).version(clap::crate_version!()).arg(address).arg(log)
 }
 
-/// An argument that takes a whole number.
+/// An argument with an integer value.
 pub fn number(name: &'static str, default: &'static str, help: &'static str) -> Arg {
     Arg::new(name)
         .long(name)
@@ -30,17 +30,17 @@
         .help(help)
 }
 
-/// Runs a stand-in until the process is ended.
+/// Calls `start` inside a runtime and keeps the process running until it is terminated.
 pub fn run_forever(start: impl FnOnce() -> Result<(), String>) -> std::process::ExitCode {
     let runtime =
         match tokio::runtime::Builder::new_multi_thread().worker_threads(1).enable_all().build() {
             Ok(runtime) => runtime,
             Err(error) => {
-                eprintln!("runtime: {error}");
+                eprintln!("start of the tokio runtime failed: {error}");
                 return std::process::ExitCode::FAILURE;
             }
         };
-    let _inside = runtime.enter();
+    let _guard = runtime.enter();
     if let Err(error) = start() {
         eprintln!("{error}");
         return std::process::ExitCode::FAILURE;
--- a/crates/standins/src/bin/stackpost-standin-engine.rs
+++ b/crates/standins/src/bin/stackpost-standin-engine.rs
@@ -1,4 +1,4 @@
-//! `stackpost-standin-engine`: a model engine that generates nothing of sense.
+//! `stackpost-standin-engine`: a model engine that generates meaningless text.
 
 use clap::{Arg, ArgAction};
 use stackpost_http::{ServerOptions, serve};
@@ -46,7 +46,7 @@
                 .help("Where it reads weights"),
         )
         .get_matches();
-    let value = |name: &str| *matches.get_one::<u64>(name).expect("has a default");
+    let value = |name: &str| *matches.get_one::<u64>(name).expect("argument has a default");
     let usage = matches.get_one::<String>("usage").and_then(|text| UsageMode::parse(text));
     let options = EngineOptions {
         checks_fence: matches.get_flag("checks-fence"),
@@ -57,9 +57,9 @@
         lag: Duration::from_millis(value("lag-ms")),
         usage: usage.unwrap_or(UsageMode::Exact),
         weight_store: matches.get_one::<SocketAddr>("weight-store").copied(),
-        rest: matches.get_one::<u64>("rest-s").copied(),
+        retry_after_s: matches.get_one::<u64>("rest-s").copied(),
     };
-    let address = *matches.get_one::<SocketAddr>("address").expect("required");
+    let address = *matches.get_one::<SocketAddr>("address").expect("argument is required");
     run_forever(|| {
         let log = matches.get_one::<PathBuf>("log");
         let engine = Engine::new(options, Journal::open(log.map(PathBuf::as_path))?);
--- a/crates/standins/src/bin/stackpost-standin-platform.rs
+++ b/crates/standins/src/bin/stackpost-standin-platform.rs
@@ -1,4 +1,5 @@
-//! `stackpost-standin-platform`: a lagging machine list and a rate-limited weight store.
+//! `stackpost-standin-platform`: a machine list that lags behind and a rate-limited weight
+//! store.
 
 use stackpost_http::{ServerOptions, serve};
 use stackpost_standins::arguments::{command, number, run_forever};
@@ -12,8 +13,8 @@
         .arg(number("lag-ms", "1000", "Age of the machine list, in milliseconds"))
         .arg(number("weight-reads", "4", "Reads of weights allowed in a second"))
         .get_matches();
-    let value = |name: &str| *matches.get_one::<u64>(name).expect("has a default");
-    let address = *matches.get_one::<SocketAddr>("address").expect("required");
+    let value = |name: &str| *matches.get_one::<u64>(name).expect("argument has a default");
+    let address = *matches.get_one::<SocketAddr>("address").expect("argument is required");
     let lag = Duration::from_millis(value("lag-ms"));
     let platform = Platform::new(lag, value("weight-reads") as usize);
     run_forever(|| {
--- a/crates/standins/src/bin/stackpost-standin-service.rs
+++ b/crates/standins/src/bin/stackpost-standin-service.rs
@@ -1,4 +1,4 @@
-//! `stackpost-standin-service`: a plain service that counts what it is asked to do.
+//! `stackpost-standin-service`: a plain service that counts the requests that it executes.
 
 use clap::Arg;
 use stackpost_http::{ServerOptions, serve};
@@ -18,8 +18,8 @@
                 .help("Name that its answers carry"),
         )
         .get_matches();
-    let address = *matches.get_one::<SocketAddr>("address").expect("required");
-    let name = matches.get_one::<String>("name").expect("has a default").clone();
+    let address = *matches.get_one::<SocketAddr>("address").expect("argument is required");
+    let name = matches.get_one::<String>("name").expect("argument has a default").clone();
     run_forever(|| {
         let log = matches.get_one::<PathBuf>("log");
         let service = PlainService::new(name, Journal::open(log.map(PathBuf::as_path))?);
--- a/crates/standins/src/cache.rs
+++ b/crates/standins/src/cache.rs
@@ -1,77 +1,77 @@
-//! The stand-in engine's prefix cache and its late, gappy events.
+//! Prefix cache of the stand-in engine. Its events are published with a delay and may have gaps.
 
 use serde::Serialize;
 use stackpost_balance::{BlockHash, CacheChange};
 use std::collections::{HashSet, VecDeque};
 use std::time::{Duration, Instant};
 
-/// Events kept for those who ask; older ones are lost to them.
+/// Most events kept for readers; older ones are dropped, which leaves a gap.
 const KEPT_EVENTS: usize = 512;
 
-/// A cache of prompt blocks in limited memory.
+/// A cache of prompt blocks with limited capacity; the oldest block is evicted first.
 #[derive(Debug)]
 pub struct PrefixCache {
     capacity: usize,
     lag: Duration,
-    held: HashSet<BlockHash>,
+    cached: HashSet<BlockHash>,
     order: VecDeque<BlockHash>,
     events: VecDeque<(Instant, CacheChange)>,
-    first_kept: u64,
+    first_kept_event: u64,
 }
 
-/// Events as they are published.
+/// Published events.
 #[derive(Debug, Serialize)]
-pub struct Published {
-    /// Number of the first event.
+pub struct PublishedEvents {
+    /// Number of the first event in `changes`.
     pub first: u64,
-    /// The events.
+    /// The events, in order.
     pub changes: Vec<CacheChange>,
 }
 
-/// The whole cache as it is published.
+/// Published content of the whole cache.
 #[derive(Debug, Serialize)]
-pub struct WholeCache {
+pub struct CacheContent {
     /// Number of the next event.
     pub next: u64,
-    /// The blocks held.
+    /// The cached blocks.
     pub blocks: Vec<BlockHash>,
 }
 
 impl PrefixCache {
-    /// A cache of `capacity` blocks whose events are published `lag` late.
+    /// A cache of `capacity` blocks whose events are published with a delay of `lag`.
     pub fn new(capacity: usize, lag: Duration) -> Self {
         Self {
             capacity,
             lag,
-            held: HashSet::new(),
+            cached: HashSet::new(),
             order: VecDeque::new(),
             events: VecDeque::new(),
-            first_kept: 0,
+            first_kept_event: 0,
         }
     }
 
-    /// Looks a prompt up and stores it; returns how many leading blocks were there.
-    pub fn use_prompt(&mut self, blocks: &[BlockHash]) -> usize {
-        let hits = blocks.iter().take_while(|block| self.held.contains(block)).count();
+    /// Looks up a prompt and stores it; returns the number of leading blocks that were cached.
+    pub fn look_up_and_store(&mut self, blocks: &[BlockHash]) -> usize {
+        let hits = blocks.iter().take_while(|block| self.cached.contains(block)).count();
         for block in blocks {
-            if self.held.insert(*block) {
+            if self.cached.insert(*block) {
                 self.order.push_back(*block);
-                self.publish(CacheChange::Stored(*block));
+                self.push_event(CacheChange::Stored(*block));
             }
         }
         while self.order.len() > self.capacity {
             if let Some(oldest) = self.order.pop_front() {
-                self.held.remove(&oldest);
-                self.publish(CacheChange::Removed(oldest));
+                self.cached.remove(&oldest);
+                self.push_event(CacheChange::Removed(oldest));
             }
         }
         hits
     }
 
-    /// The events from number `from` on that are old enough to be published.
-    pub fn published_from(&self, from: u64) -> Published {
-        let first = from.max(self.first_kept);
-        let skipped = (first - self.first_kept) as usize;
+    /// Events from number `from` on that are at least `lag` old.
+    pub fn published_from(&self, from: u64) -> PublishedEvents {
+        let first = from.max(self.first_kept_event);
+        let skipped = (first - self.first_kept_event) as usize;
         let changes = self
             .events
             .iter()
@@ -79,20 +79,20 @@
             .take_while(|(at, _)| at.elapsed() >= self.lag)
             .map(|(_, change)| change.clone())
             .collect();
-        Published { first, changes }
+        PublishedEvents { first, changes }
     }
 
-    /// The whole cache.
-    pub fn whole(&self) -> WholeCache {
-        let next = self.first_kept + self.events.len() as u64;
-        WholeCache { next, blocks: self.order.iter().copied().collect() }
+    /// Content of the whole cache.
+    pub fn content(&self) -> CacheContent {
+        let next = self.first_kept_event + self.events.len() as u64;
+        CacheContent { next, blocks: self.order.iter().copied().collect() }
     }
 
-    fn publish(&mut self, change: CacheChange) {
+    fn push_event(&mut self, change: CacheChange) {
         self.events.push_back((Instant::now(), change));
         if self.events.len() > KEPT_EVENTS {
             self.events.pop_front();
-            self.first_kept += 1;
+            self.first_kept_event += 1;
         }
     }
 }
--- a/crates/standins/src/engine.rs
+++ b/crates/standins/src/engine.rs
@@ -1,8 +1,8 @@
-//! The stand-in model engine.
+//! Stand-in for a model engine.
 
 use crate::cache::PrefixCache;
-use crate::generation::{ChatBody, Plan, UsageMode};
-use crate::journal::{Journal, Note};
+use crate::generation::{ChatBody, ResponsePlan, UsageMode};
+use crate::journal::{Journal, JournalEntry};
 use crate::load::LoadMeter;
 use crate::orders::{Order, OrderedState, load_weights};
 use serde_json::json;
@@ -18,35 +18,35 @@
 
 /// Largest request body, in bytes.
 const MAX_BODY_BYTES: usize = 16 << 20;
-/// Requests whose usage is remembered.
-const KEPT_USAGES: usize = 10_000;
-/// Pieces that may wait for a slow reader.
-const PIECES_AHEAD: usize = 16;
+/// Most requests whose usage is kept.
+const MAX_KEPT_USAGES: usize = 10_000;
+/// Stream chunks buffered for a slow reader.
+const MAX_BUFFERED_CHUNKS: usize = 16;
 
-/// How an engine behaves.
+/// Configuration of an engine.
 #[derive(Clone, Debug)]
 pub struct EngineOptions {
     /// Whether orders with an older fencing token are refused.
     pub checks_fence: bool,
-    /// Time per token with an empty batch.
+    /// Time per generated token with an empty batch.
     pub token_time: Duration,
     /// Time per prompt block that is not in the cache.
     pub block_time: Duration,
-    /// Requests worked on at once; more wait.
+    /// Requests processed concurrently; more are queued.
     pub batch: usize,
-    /// Blocks in the prefix cache.
+    /// Capacity of the prefix cache, in blocks.
     pub cache_blocks: usize,
     /// Age of load reports and cache events.
     pub lag: Duration,
     /// How usage is reported.
     pub usage: UsageMode,
-    /// Where weights are read; without one, loading takes no time.
+    /// Address of the weight store; without one, loading takes no time.
     pub weight_store: Option<SocketAddr>,
-    /// If given, every chat is turned away with a wish for so many seconds of rest.
-    pub rest: Option<u64>,
+    /// If set, every chat request is rejected with a `retry-after` of so many seconds.
+    pub retry_after_s: Option<u64>,
 }
 
-/// An engine.
+/// A running engine.
 pub struct Engine {
     options: EngineOptions,
     journal: Journal,
@@ -65,7 +65,7 @@
 }
 
 impl Engine {
-    /// An idle engine.
+    /// Creates an idle engine.
     pub fn new(options: EngineOptions, journal: Journal) -> Arc<Self> {
         Arc::new(Self {
             journal,
@@ -79,8 +79,8 @@
         })
     }
 
-    fn note(&self, event: &str, request: &str, plan: &Plan, generated: u64) {
-        self.journal.note(&Note {
+    fn record(&self, event: &str, request: &str, plan: &ResponsePlan, generated: u64) {
+        self.journal.append(&JournalEntry {
             event,
             subject: request,
             prompt_tokens: plan.prompt_tokens,
@@ -88,34 +88,34 @@
         });
     }
 
-    fn remember_usage(&self, request: &str, plan: &Plan, generated: u64) {
+    fn record_usage(&self, request: &str, plan: &ResponsePlan, generated: u64) {
         let mut usages = self.usages.lock().unwrap_or_else(PoisonError::into_inner);
         let usage = (plan.prompt_tokens, generated);
         if usages.by_request.insert(request.to_string(), usage).is_none() {
             usages.order.push_back(request.to_string());
         }
-        if usages.order.len() > KEPT_USAGES
+        if usages.order.len() > MAX_KEPT_USAGES
             && let Some(oldest) = usages.order.pop_front()
         {
             usages.by_request.remove(&oldest);
         }
     }
 
-    /// Time until the first token: what the cache lacks has to be computed.
-    fn prefill_time(&self, plan: &Plan) -> Duration {
+    /// Prefill time: blocks that are not in the prefix cache have to be computed.
+    fn prefill_time(&self, plan: &ResponsePlan) -> Duration {
         let mut cache = self.cache.lock().unwrap_or_else(PoisonError::into_inner);
-        let missing = plan.blocks.len() - cache.use_prompt(&plan.blocks);
-        self.options.block_time * missing as u32
+        let uncached = plan.blocks.len() - cache.look_up_and_store(&plan.blocks);
+        self.options.block_time * uncached as u32
     }
 
-    /// Time of one token; a full batch takes twice as long as an empty one.
+    /// Time per token; twice as long with a full batch as with an empty one.
     fn token_time(&self) -> Duration {
         let fill = f64::from(self.load.running()) / self.options.batch as f64;
         self.options.token_time.mul_f64(1.0 + fill)
     }
 }
 
-/// Answers one request.
+/// Handles one request.
 pub async fn handle(engine: Arc<Engine>, mut exchange: Exchange) -> Answer {
     let path = exchange.uri.path().to_string();
     match (exchange.method.clone(), path.as_str()) {
@@ -123,7 +123,7 @@
         (Method::GET, "/v1/engine/load") => Answer::json(StatusCode::OK, &engine.load.report()),
         (Method::GET, "/v1/engine/cache") => {
             let cache = engine.cache.lock().unwrap_or_else(PoisonError::into_inner);
-            Answer::json(StatusCode::OK, &cache.whole())
+            Answer::json(StatusCode::OK, &cache.content())
         }
         (Method::GET, "/v1/engine/cache/events") => {
             let query = exchange.uri.query().unwrap_or_default();
@@ -131,15 +131,15 @@
             let cache = engine.cache.lock().unwrap_or_else(PoisonError::into_inner);
             Answer::json(StatusCode::OK, &cache.published_from(from.unwrap_or_default()))
         }
-        (Method::POST, "/v1/engine/orders") => take_order(&engine, &mut exchange).await,
+        (Method::POST, "/v1/engine/orders") => handle_order(&engine, &mut exchange).await,
         (Method::GET, path) if path.starts_with("/v1/engine/requests/") => {
-            usage_of(&engine, path.trim_start_matches("/v1/engine/requests/"))
+            request_usage(&engine, path.trim_start_matches("/v1/engine/requests/"))
         }
         _ => Answer::json(StatusCode::NOT_FOUND, &json!({ "error": format!("no {path}") })),
     }
 }
 
-fn usage_of(engine: &Engine, request: &str) -> Answer {
+fn request_usage(engine: &Engine, request: &str) -> Answer {
     let usages = engine.usages.lock().unwrap_or_else(PoisonError::into_inner);
     match usages.by_request.get(request) {
         Some((prompt, completion)) => {
@@ -150,38 +150,38 @@
     }
 }
 
-async fn take_order(engine: &Engine, exchange: &mut Exchange) -> Answer {
+async fn handle_order(engine: &Engine, exchange: &mut Exchange) -> Answer {
     let bytes = exchange.body.read_all(MAX_BODY_BYTES).await.unwrap_or_default();
     let order: Order = match serde_json::from_slice(&bytes) {
         Ok(order) => order,
         Err(error) => return Answer::text(StatusCode::BAD_REQUEST, error.to_string()),
     };
-    let token = format!("{}:{}", order.term, order.version);
-    let note = |event| {
-        engine.journal.note(&Note {
+    let fencing_token = format!("{}:{}", order.term, order.version);
+    let record = |event| {
+        engine.journal.append(&JournalEntry {
             event,
-            subject: &token,
+            subject: &fencing_token,
             prompt_tokens: 0,
             completion_tokens: 0,
         });
     };
-    let missing = match engine.ordered.begin(&order) {
-        Ok(missing) => missing,
+    let missing_models = match engine.ordered.accept(&order) {
+        Ok(missing_models) => missing_models,
         Err(stale) => {
-            note("order_refused");
+            record("order_refused");
             let text = format!("stale token; newest seen: {:?}", stale.newest);
             return Answer::text(StatusCode::CONFLICT, text);
         }
     };
     if let Some(store) = engine.options.weight_store {
-        for model in missing {
+        for model in missing_models {
             if let Err(error) = load_weights(&engine.client, store, &model).await {
                 return Answer::text(StatusCode::SERVICE_UNAVAILABLE, error);
             }
         }
     }
     engine.ordered.complete(&order);
-    note("order");
+    record("order");
     Answer::text(StatusCode::OK, "done\n")
 }
 
@@ -201,109 +201,111 @@
         let error = json!({ "error": { "message": format!("{} is not loaded", body.model) } });
         return Answer::json(StatusCode::SERVICE_UNAVAILABLE, &error);
     }
-    let plan = Plan::new(&request, &body);
-    if let Some(rest) = engine.options.rest {
-        engine.note("turned_away", &request, &plan, 0);
-        let answer = Answer::text(StatusCode::SERVICE_UNAVAILABLE, "no room\n");
-        return answer.with_header("retry-after", &rest.to_string());
+    let plan = ResponsePlan::new(&request, &body);
+    if let Some(retry_after_s) = engine.options.retry_after_s {
+        engine.record("turned_away", &request, &plan, 0);
+        let response = Answer::text(StatusCode::SERVICE_UNAVAILABLE, "no room\n");
+        return response.with_header("retry-after", &retry_after_s.to_string());
     }
     let watch = exchange.watch.take();
-    let answer = if body.stream {
-        stream(engine, request.clone(), plan, watch)
+    let response = if body.stream {
+        streamed_chat(engine, request.clone(), plan, watch)
     } else {
-        whole(engine, &request, plan, watch).await
+        buffered_chat(engine, &request, plan, watch).await
     };
-    answer.with_header("x-request-id", &request)
+    response.with_header("x-request-id", &request)
 }
 
-/// Whether the caller has gone.
-fn is_gone(watch: &Option<ConnectionWatch>) -> bool {
+/// Whether the caller has closed its connection.
+fn is_disconnected(watch: &Option<ConnectionWatch>) -> bool {
     watch.as_ref().is_some_and(ConnectionWatch::is_closed)
 }
 
-/// Waits for a place in the batch and computes the prompt. `None` if the caller has gone.
-async fn begin<'a>(
+/// Waits for a place in the batch and for the prefill. `None` if the caller has disconnected while
+/// the request was queued.
+async fn start_request<'a>(
     engine: &'a Engine,
     request: &str,
-    plan: &Plan,
+    plan: &ResponsePlan,
     watch: &Option<ConnectionWatch>,
 ) -> Option<tokio::sync::SemaphorePermit<'a>> {
-    engine.load.wait();
-    let place = engine.batch.acquire().await.ok();
-    if place.is_none() || is_gone(watch) {
-        engine.load.give_up();
+    engine.load.on_queued();
+    let permit = engine.batch.acquire().await.ok();
+    if permit.is_none() || is_disconnected(watch) {
+        engine.load.on_abandoned();
         return None;
     }
-    engine.load.run();
-    engine.note("started", request, plan, 0);
-    engine.remember_usage(request, plan, 0);
+    engine.load.on_started();
+    engine.record("started", request, plan, 0);
+    engine.record_usage(request, plan, 0);
     tokio::time::sleep(engine.prefill_time(plan)).await;
-    place
+    permit
 }
 
-async fn whole(
+async fn buffered_chat(
     engine: Arc<Engine>,
     request: &str,
-    plan: Plan,
+    plan: ResponsePlan,
     watch: Option<ConnectionWatch>,
 ) -> Answer {
-    let Some(_place) = begin(&engine, request, &plan, &watch).await else {
+    let Some(_permit) = start_request(&engine, request, &plan, &watch).await else {
         return Answer::text(StatusCode::SERVICE_UNAVAILABLE, "caller gone");
     };
     for generated in 0..plan.length {
-        pause(engine.token_time()).await;
-        if is_gone(&watch) {
-            engine.note("cancelled", request, &plan, generated);
-            engine.remember_usage(request, &plan, generated);
-            engine.load.end();
+        sleep_if_nonzero(engine.token_time()).await;
+        if is_disconnected(&watch) {
+            engine.record("cancelled", request, &plan, generated);
+            engine.record_usage(request, &plan, generated);
+            engine.load.on_finished();
             return Answer::text(StatusCode::SERVICE_UNAVAILABLE, "caller gone");
         }
     }
-    engine.remember_usage(request, &plan, plan.length);
-    engine.note("finished", request, &plan, plan.length);
-    engine.load.end();
-    Answer::json(StatusCode::OK, &plan.whole(engine.options.usage))
+    engine.record_usage(request, &plan, plan.length);
+    engine.record("finished", request, &plan, plan.length);
+    engine.load.on_finished();
+    Answer::json(StatusCode::OK, &plan.to_body(engine.options.usage))
 }
 
-fn stream(
+fn streamed_chat(
     engine: Arc<Engine>,
     request: String,
-    plan: Plan,
+    plan: ResponsePlan,
     watch: Option<ConnectionWatch>,
 ) -> Answer {
-    let (sender, pieces) = mpsc::channel(PIECES_AHEAD);
+    let (sender, chunks) = mpsc::channel(MAX_BUFFERED_CHUNKS);
     tokio::spawn(async move {
-        let Some(_place) = begin(&engine, &request, &plan, &watch).await else {
+        let Some(_permit) = start_request(&engine, &request, &plan, &watch).await else {
             return;
         };
         let mut generated = 0;
         while generated < plan.length {
-            pause(engine.token_time()).await;
+            sleep_if_nonzero(engine.token_time()).await;
             let event = Bytes::from(plan.chunk(generated));
-            if is_gone(&watch) || sender.send(Ok(event)).await.is_err() {
+            if is_disconnected(&watch) || sender.send(Ok(event)).await.is_err() {
                 break;
             }
             generated += 1;
-            engine.remember_usage(&request, &plan, generated);
+            engine.record_usage(&request, &plan, generated);
         }
         let event = if generated == plan.length { "finished" } else { "cancelled" };
-        engine.note(event, &request, &plan, generated);
-        engine.load.end();
+        engine.record(event, &request, &plan, generated);
+        engine.load.on_finished();
         if generated == plan.length {
             let mut end = plan.last_chunk();
             end.push_str(&plan.usage_chunk(engine.options.usage).unwrap_or_default());
             end.push_str("data: [DONE]\n\n");
-            // The reader may have gone after the last token; the journal says what was generated.
+            // The caller may have disconnected after the last token; the journal has the number
+            // of generated tokens.
             let _ = sender.send(Ok(Bytes::from(end))).await;
         }
     });
     let mut headers = HeaderMap::new();
     headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("text/event-stream"));
-    Answer { status: StatusCode::OK, headers, body: AnswerBody::Stream(pieces) }
+    Answer { status: StatusCode::OK, headers, body: AnswerBody::Stream(chunks) }
 }
 
-async fn pause(span: Duration) {
-    if !span.is_zero() {
-        tokio::time::sleep(span).await;
+async fn sleep_if_nonzero(duration: Duration) {
+    if !duration.is_zero() {
+        tokio::time::sleep(duration).await;
     }
 }
--- a/crates/standins/src/generation.rs
+++ b/crates/standins/src/generation.rs
@@ -1,25 +1,26 @@
-//! What the stand-in engine generates.
+//! Generated responses of the stand-in engine.
 
 use serde::Deserialize;
 use serde_json::{Value, json};
 use stackpost_balance::{BlockHash, block_hashes};
 use stackpost_types::Digest;
 
-/// Longest answer when the prompt does not ask for a number of tokens.
-const DEFAULT_SPREAD: u64 = 40;
-/// Shortest answer.
-const SHORTEST: u64 = 8;
-/// Bytes of prompt that make one token.
+/// Number of different lengths, from [`MIN_TOKENS`] on, of a response to a prompt without
+/// `tokens=N`.
+const LENGTH_VARIANTS: u64 = 40;
+/// Least tokens of a response to a prompt without `tokens=N`.
+const MIN_TOKENS: u64 = 8;
+/// Prompt bytes that count as one token.
 const BYTES_PER_TOKEN: usize = 4;
 
-/// A chat request, as far as the stand-in reads it.
+/// The fields of a chat request that the stand-in uses.
 #[derive(Debug, Deserialize)]
 pub struct ChatBody {
     /// The model.
     pub model: String,
-    /// The messages.
+    /// Messages of the conversation.
     pub messages: Vec<Value>,
-    /// Whether to stream.
+    /// Whether the response is streamed.
     #[serde(default)]
     pub stream: bool,
     /// Most tokens to generate.
@@ -27,21 +28,21 @@
     pub max_tokens: Option<u64>,
 }
 
-/// How the engine reports what it used.
+/// How the engine reports its token usage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UsageMode {
-    /// Truthfully.
+    /// The true numbers.
     Exact,
-    /// Not at all.
+    /// No usage.
     Missing,
-    /// Half of what it generated.
+    /// Half of the generated tokens.
     Low,
-    /// A hundred times what it generated.
+    /// A hundred times the generated tokens.
     High,
 }
 
 impl UsageMode {
-    /// Reads the mode's name.
+    /// Parses the name of a mode; `None` for an unknown name.
     pub fn parse(text: &str) -> Option<Self> {
         match text {
             "exact" => Some(Self::Exact),
@@ -53,60 +54,61 @@
     }
 }
 
-/// A planned answer.
+/// A response planned before it is generated.
 #[derive(Clone, Debug)]
-pub struct Plan {
-    /// Name shared by all chunks.
+pub struct ResponsePlan {
+    /// Completion id, the same in all chunks.
     pub id: String,
     /// The model.
     pub model: String,
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     pub prompt_tokens: u64,
-    /// Tokens to generate.
+    /// Number of tokens to generate.
     pub length: u64,
     /// Hashes of the prompt's blocks.
     pub blocks: Vec<BlockHash>,
     seed: u64,
 }
 
-impl Plan {
-    /// Plans the answer to a request. A prompt that contains `tokens=N` gets N tokens, as far as
-    /// `max_tokens` allows.
+impl ResponsePlan {
+    /// Plans the response to a request. A prompt that contains `tokens=N` gets N tokens, but at
+    /// most `max_tokens`.
     pub fn new(request: &str, body: &ChatBody) -> Self {
         let prompt = prompt_text(&body.messages);
         let seed = Digest::of(&[prompt.as_bytes()]).to_u64();
-        let wanted = wanted_tokens(&prompt).unwrap_or(SHORTEST + seed % DEFAULT_SPREAD);
+        let requested = requested_tokens(&prompt).unwrap_or(MIN_TOKENS + seed % LENGTH_VARIANTS);
         Self {
             id: format!("chatcmpl-{request}"),
             model: body.model.clone(),
             prompt_tokens: prompt.len().div_ceil(BYTES_PER_TOKEN) as u64,
-            length: wanted.min(body.max_tokens.unwrap_or(u64::MAX)),
+            length: requested.min(body.max_tokens.unwrap_or(u64::MAX)),
             blocks: block_hashes(&body.model, &prompt),
             seed,
         }
     }
 
-    /// The text of token number `index`. Depends on the prompt, so that a crossed answer shows.
+    /// Text of token `index`. It depends on the prompt, so that a response delivered for another
+    /// request is detected.
     pub fn token(&self, index: u64) -> String {
         format!("w{:x} ", (self.seed ^ index.wrapping_mul(0x9e37_79b9)) & 0xffff)
     }
 
-    /// The whole text.
+    /// Text of all tokens.
     pub fn text(&self) -> String {
         (0..self.length).map(|index| self.token(index)).collect()
     }
 
-    /// The event with token number `index`.
+    /// Stream event with token `index`.
     pub fn chunk(&self, index: u64) -> String {
-        self.event(json!({ "content": self.token(index) }), None)
+        self.chunk_event(json!({ "content": self.token(index) }), None)
     }
 
-    /// The event that ends generation.
+    /// Stream event with the finish reason.
     pub fn last_chunk(&self) -> String {
-        self.event(json!({}), Some("stop"))
+        self.chunk_event(json!({}), Some("stop"))
     }
 
-    /// The event with the usage.
+    /// Stream event with the usage; `None` if usage is not reported.
     pub fn usage_chunk(&self, mode: UsageMode) -> Option<String> {
         let usage = self.usage(mode)?;
         let chunk = json!({
@@ -116,9 +118,9 @@
         Some(format!("data: {chunk}\n\n"))
     }
 
-    /// The answer in one piece.
-    pub fn whole(&self, mode: UsageMode) -> Value {
-        let mut answer = json!({
+    /// Body of a response that is not streamed.
+    pub fn to_body(&self, mode: UsageMode) -> Value {
+        let mut body = json!({
             "id": self.id, "object": "chat.completion", "created": 0, "model": self.model,
             "choices": [{
                 "index": 0,
@@ -127,13 +129,13 @@
             }],
         });
         if let Some(usage) = self.usage(mode) {
-            answer["usage"] = usage;
+            body["usage"] = usage;
         }
-        answer
+        body
     }
 
     fn usage(&self, mode: UsageMode) -> Option<Value> {
-        let completion = match mode {
+        let reported = match mode {
             UsageMode::Exact => self.length,
             UsageMode::Missing => return None,
             UsageMode::Low => self.length / 2,
@@ -141,12 +143,12 @@
         };
         Some(json!({
             "prompt_tokens": self.prompt_tokens,
-            "completion_tokens": completion,
-            "total_tokens": self.prompt_tokens + completion,
+            "completion_tokens": reported,
+            "total_tokens": self.prompt_tokens + reported,
         }))
     }
 
-    fn event(&self, delta: Value, finish_reason: Option<&str>) -> String {
+    fn chunk_event(&self, delta: Value, finish_reason: Option<&str>) -> String {
         let chunk = json!({
             "id": self.id, "object": "chat.completion.chunk", "created": 0, "model": self.model,
             "choices": [{ "index": 0, "delta": delta, "finish_reason": finish_reason }],
@@ -155,7 +157,7 @@
     }
 }
 
-fn wanted_tokens(prompt: &str) -> Option<u64> {
+fn requested_tokens(prompt: &str) -> Option<u64> {
     let (_, after) = prompt.split_once("tokens=")?;
     let digits: String = after.chars().take_while(char::is_ascii_digit).collect();
     digits.parse().ok()
--- a/crates/standins/src/journal.rs
+++ b/crates/standins/src/journal.rs
@@ -1,4 +1,4 @@
-//! What a stand-in did, one JSON object a line.
+//! Journal of a stand-in's actions: one JSON object per line.
 
 use serde::Serialize;
 use std::fs::{File, OpenOptions};
@@ -6,25 +6,26 @@
 use std::path::Path;
 use std::sync::{Mutex, PoisonError};
 
-/// One thing done.
+/// A journal entry.
 #[derive(Debug, Serialize)]
-pub struct Note<'a> {
-    /// What: `started`, `finished`, `cancelled`, `executed`, `order`, `order_refused`.
+pub struct JournalEntry<'a> {
+    /// Kind of event: `started`, `finished`, `cancelled`, `turned_away`, `executed`, `order`,
+    /// `order_refused`.
     pub event: &'a str,
-    /// The request, or the order's fencing token.
+    /// Id of the request, or the fencing token of the order.
     pub subject: &'a str,
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     pub prompt_tokens: u64,
-    /// Tokens generated so far.
+    /// Number of tokens generated so far.
     pub completion_tokens: u64,
 }
 
-/// A log file, or none.
+/// Journal file; without a file, entries are discarded.
 #[derive(Debug)]
 pub struct Journal(Option<Mutex<File>>);
 
 impl Journal {
-    /// Opens the file, if one is wanted.
+    /// Opens the file for appending, if a path is given.
     pub fn open(path: Option<&Path>) -> Result<Self, String> {
         let Some(path) = path else {
             return Ok(Self(None));
@@ -37,16 +38,16 @@
         Ok(Self(Some(Mutex::new(file))))
     }
 
-    /// Adds a line.
-    pub fn note(&self, note: &Note<'_>) {
+    /// Appends an entry. A write error is printed, not returned.
+    pub fn append(&self, entry: &JournalEntry<'_>) {
         let Some(file) = &self.0 else { return };
-        let Ok(mut line) = serde_json::to_vec(note) else {
+        let Ok(mut line) = serde_json::to_vec(entry) else {
             return;
         };
         line.push(b'\n');
         let mut file = file.lock().unwrap_or_else(PoisonError::into_inner);
         if let Err(error) = file.write_all(&line) {
-            eprintln!("journal: {error}");
+            eprintln!("write to the journal failed: {error}");
         }
     }
 }
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,7 +1,7 @@
-//! Stand-ins for the outside systems: model engines, plain services and the platform.
+//! Stand-ins for external systems: model engines, plain services and the platform.
 //!
-//! They speak the protocols that the real ones publish, as far as the fleet uses them, and keep a
-//! log of what they did, so that a test can compare it with what callers and bills say.
+//! They implement the parts of the published protocols that the fleet uses, and write a journal of
+//! their actions, so that a test can compare it with responses and bills.
 
 pub mod arguments;
 pub mod cache;
--- a/crates/standins/src/load.rs
+++ b/crates/standins/src/load.rs
@@ -1,14 +1,14 @@
-//! A back end's load and its lagging reports.
+//! Load of a back end and its delayed reports.
 
 use stackpost_balance::LoadReport;
 use std::collections::VecDeque;
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Samples kept.
-const KEPT_SAMPLES: usize = 1_000;
+/// Most samples kept.
+const MAX_SAMPLES: usize = 1_000;
 
-/// Counts requests and reports them late.
+/// Counts running and waiting requests, and reports the counts with a delay.
 #[derive(Debug)]
 pub struct LoadMeter {
     lag: Duration,
@@ -23,45 +23,45 @@
 }
 
 impl LoadMeter {
-    /// A meter whose reports are `lag` old.
+    /// A meter whose reports are at least `lag` old.
     pub fn new(lag: Duration) -> Self {
         Self { lag, state: Mutex::default() }
     }
 
-    /// Notes that a request came to wait.
-    pub fn wait(&self) {
-        self.change(|state| state.waiting += 1);
+    /// Records that a request was queued.
+    pub fn on_queued(&self) {
+        self.update(|state| state.waiting += 1);
     }
 
-    /// Notes that a waiting request began to run.
-    pub fn run(&self) {
-        self.change(|state| {
+    /// Records that a waiting request started to run.
+    pub fn on_started(&self) {
+        self.update(|state| {
             state.waiting -= 1;
             state.running += 1;
         });
     }
 
-    /// Notes that a waiting request was given up.
-    pub fn give_up(&self) {
-        self.change(|state| state.waiting -= 1);
+    /// Records that a waiting request was abandoned.
+    pub fn on_abandoned(&self) {
+        self.update(|state| state.waiting -= 1);
     }
 
-    /// Notes the end of a running request.
-    pub fn end(&self) {
-        self.change(|state| state.running -= 1);
+    /// Records the end of a running request.
+    pub fn on_finished(&self) {
+        self.update(|state| state.running -= 1);
     }
 
-    /// Requests running now.
+    /// Number of running requests.
     pub fn running(&self) -> u32 {
         self.lock().running
     }
 
-    /// The newest sample that is old enough.
+    /// The newest sample that is at least `lag` old; zeros without one.
     pub fn report(&self) -> LoadReport {
         let state = self.lock();
-        let old_enough = state.samples.iter().rev().find(|(at, ..)| at.elapsed() >= self.lag);
+        let sample = state.samples.iter().rev().find(|(at, ..)| at.elapsed() >= self.lag);
         let age_ms = self.lag.as_millis() as u64;
-        match old_enough {
+        match sample {
             Some((_, running, waiting)) => {
                 LoadReport { running: *running, waiting: *waiting, age_ms }
             }
@@ -69,12 +69,12 @@
         }
     }
 
-    fn change(&self, change: impl FnOnce(&mut State)) {
+    fn update(&self, change: impl FnOnce(&mut State)) {
         let mut state = self.lock();
         change(&mut state);
         let sample = (Instant::now(), state.running, state.waiting);
         state.samples.push_back(sample);
-        if state.samples.len() > KEPT_SAMPLES {
+        if state.samples.len() > MAX_SAMPLES {
             state.samples.pop_front();
         }
     }
--- a/crates/standins/src/orders.rs
+++ b/crates/standins/src/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to the stand-in engine, with or without a check of the fencing token.
+//! Orders to the stand-in engine, with or without a check of their fencing tokens.
 
 use serde::{Deserialize, Serialize};
 use stackpost_http::{Bytes, Client, StatusCode};
@@ -8,32 +8,32 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
 
-/// Pause after the weight store has asked to come back later.
-const STORE_PAUSE: Duration = Duration::from_millis(200);
-/// Tries at the weight store before the order fails.
-const STORE_TRIES: u32 = 30;
+/// Delay before a retry after the weight store has rate limited a read.
+const STORE_RETRY_DELAY: Duration = Duration::from_millis(200);
+/// Attempts to read from the weight store before the order fails.
+const STORE_MAX_ATTEMPTS: u32 = 30;
 
 /// An order, with its fencing token `(term, version)`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Order {
-    /// First part of the token.
+    /// Term, the first part of the fencing token.
     pub term: u64,
-    /// Second part of the token.
+    /// Version, the second part of the fencing token.
     pub version: u64,
-    /// What to hold.
+    /// Models to load.
     pub models: Vec<String>,
-    /// What to be.
+    /// Role to take.
     pub role: EngineRole,
 }
 
-/// An order with an older token than one seen before.
+/// Error of an order whose token is older than the newest one received.
 #[derive(Debug)]
 pub struct StaleToken {
-    /// The newest token seen.
+    /// The newest token received.
     pub newest: (u64, u64),
 }
 
-/// What an engine was ordered to hold and be.
+/// Models and role that an engine was ordered to have.
 #[derive(Debug)]
 pub struct OrderedState {
     checks_fence: bool,
@@ -48,14 +48,14 @@
 }
 
 impl OrderedState {
-    /// Nothing is ordered yet.
+    /// State before the first order.
     pub fn new(checks_fence: bool) -> Self {
         Self { checks_fence, state: Mutex::default() }
     }
 
-    /// Models that have to be loaded for `order`; an error if its token is stale and tokens are
-    /// checked.
-    pub fn begin(&self, order: &Order) -> Result<Vec<String>, StaleToken> {
+    /// Records the order's token and returns the models that have to be loaded for it; an error if
+    /// tokens are checked and this one is stale.
+    pub fn accept(&self, order: &Order) -> Result<Vec<String>, StaleToken> {
         let mut state = self.lock();
         let token = (order.term, order.version);
         if self.checks_fence && token < state.newest {
@@ -66,7 +66,8 @@
         Ok(missing.cloned().collect())
     }
 
-    /// The ordered state is reached.
+    /// Records that `order` has been carried out. If tokens are checked, an order that has been
+    /// superseded meanwhile is ignored.
     pub fn complete(&self, order: &Order) {
         let mut state = self.lock();
         if !self.checks_fence || state.newest == (order.term, order.version) {
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Whether `model` can be served: anything can until something was ordered.
+    /// Whether `model` can be served; before the first order every model can.
     pub fn serves(&self, model: &str) -> bool {
         let state = self.lock();
         state.models.is_empty() || state.models.contains(model)
@@ -86,15 +87,15 @@
     }
 }
 
-/// Reads a model's weights, coming back when the store asks for it.
+/// Reads a model's weights, with retries while the store rate limits reads.
 pub async fn load_weights(client: &Client, store: SocketAddr, model: &str) -> Result<(), String> {
-    for _ in 0..STORE_TRIES {
+    for _ in 0..STORE_MAX_ATTEMPTS {
         let request = hyper::http::Request::get(format!("http://{store}/v1/weights/{model}"))
             .body(Bytes::new())
             .map_err(|error| error.to_string())?;
         match client.exchange(request, Duration::from_secs(5)).await {
             Ok((StatusCode::OK, _)) => return Ok(()),
-            Ok((StatusCode::TOO_MANY_REQUESTS, _)) => tokio::time::sleep(STORE_PAUSE).await,
+            Ok((StatusCode::TOO_MANY_REQUESTS, _)) => tokio::time::sleep(STORE_RETRY_DELAY).await,
             Ok((status, _)) => return Err(format!("weight store: status {status}")),
             Err(error) => return Err(format!("weight store: {error}")),
         }
--- a/crates/standins/src/plain.rs
+++ b/crates/standins/src/plain.rs
@@ -1,6 +1,6 @@
-//! The stand-in for a plain service.
+//! Stand-in for a plain service.
 
-use crate::journal::{Journal, Note};
+use crate::journal::{Journal, JournalEntry};
 use crate::load::LoadMeter;
 use serde_json::json;
 use stackpost_http::{Answer, AnswerBody, Bytes, Exchange, HeaderMap, StatusCode};
@@ -11,10 +11,10 @@
 
 /// Largest request body, in bytes.
 const MAX_BODY_BYTES: usize = 256 << 20;
-/// Bytes in one piece of a long answer.
-const PIECE_BYTES: usize = 16 * 1024;
+/// Size of one chunk of a long response, in bytes.
+const CHUNK_BYTES: usize = 16 * 1024;
 
-/// A server that does what it is asked and counts it.
+/// A service that executes requests and counts them.
 pub struct PlainService {
     name: String,
     journal: Journal,
@@ -23,32 +23,33 @@
 }
 
 impl PlainService {
-    /// An idle server.
+    /// Creates an idle service.
     pub fn new(name: String, journal: Journal) -> Arc<Self> {
         let load = LoadMeter::new(Duration::from_millis(200));
         Arc::new(Self { name, journal, load, executed: AtomicU64::new(0) })
     }
 }
 
-/// Answers one request. `delay_ms`, `status` and `bytes` in the query shape the answer.
+/// Handles one request. The query parameters `delay_ms`, `status` and `bytes` set the delay, the
+/// status and the length of the response.
 pub async fn handle(service: Arc<PlainService>, mut exchange: Exchange) -> Answer {
     if exchange.uri.path() == "/v1/engine/load" {
         return Answer::json(StatusCode::OK, &service.load.report());
     }
-    service.load.wait();
-    service.load.run();
-    let answer = execute(&service, &mut exchange).await;
-    service.load.end();
-    answer
+    service.load.on_queued();
+    service.load.on_started();
+    let response = execute(&service, &mut exchange).await;
+    service.load.on_finished();
+    response
 }
 
 async fn execute(service: &PlainService, exchange: &mut Exchange) -> Answer {
-    // A request whose body does not come whole is not executed.
+    // A request with an incomplete body is not executed.
     let Ok(body) = exchange.body.read_all(MAX_BODY_BYTES).await else {
         return Answer::text(StatusCode::BAD_REQUEST, "the body was cut off\n");
     };
     let request = exchange.headers.get("x-request-id").and_then(|id| id.to_str().ok());
-    service.journal.note(&Note {
+    service.journal.append(&JournalEntry {
         event: "executed",
         subject: request.unwrap_or("none"),
         prompt_tokens: 0,
@@ -56,39 +57,39 @@
     });
     let number = service.executed.fetch_add(1, Ordering::Relaxed) + 1;
     let query = exchange.uri.query().unwrap_or_default();
-    let delay = parameter(query, "delay_ms").unwrap_or_default();
+    let delay = query_parameter(query, "delay_ms").unwrap_or_default();
     tokio::time::sleep(Duration::from_millis(delay)).await;
-    let status = parameter(query, "status").and_then(|code| u16::try_from(code).ok());
+    let status = query_parameter(query, "status").and_then(|code| u16::try_from(code).ok());
     let status = status.and_then(|code| StatusCode::from_u16(code).ok()).unwrap_or(StatusCode::OK);
-    if let Some(length) = parameter(query, "bytes") {
-        return long_answer(length as usize);
+    if let Some(length) = query_parameter(query, "bytes") {
+        return long_response(length as usize);
     }
-    let answer = json!({
+    let response = json!({
         "service": service.name,
         "method": exchange.method.as_str(),
         "path": exchange.uri.path(),
         "body_bytes": body.len(),
         "executed": number,
     });
-    Answer::json(status, &answer)
+    Answer::json(status, &response)
 }
 
-fn long_answer(length: usize) -> Answer {
-    let (sender, pieces) = mpsc::channel(4);
+fn long_response(length: usize) -> Answer {
+    let (sender, chunks) = mpsc::channel(4);
     tokio::spawn(async move {
-        let mut left = length;
-        while left > 0 {
-            let piece = vec![b'x'; left.min(PIECE_BYTES)];
-            left -= piece.len();
-            if sender.send(Ok(Bytes::from(piece))).await.is_err() {
+        let mut remaining = length;
+        while remaining > 0 {
+            let chunk = vec![b'x'; remaining.min(CHUNK_BYTES)];
+            remaining -= chunk.len();
+            if sender.send(Ok(Bytes::from(chunk))).await.is_err() {
                 return;
             }
         }
     });
-    Answer { status: StatusCode::OK, headers: HeaderMap::new(), body: AnswerBody::Stream(pieces) }
+    Answer { status: StatusCode::OK, headers: HeaderMap::new(), body: AnswerBody::Stream(chunks) }
 }
 
-fn parameter(query: &str, name: &str) -> Option<u64> {
+fn query_parameter(query: &str, name: &str) -> Option<u64> {
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     pairs.find(|(key, _)| *key == name).and_then(|(_, value)| value.parse().ok())
 }
--- a/crates/standins/src/platform.rs
+++ b/crates/standins/src/platform.rs
@@ -1,4 +1,4 @@
-//! The stand-in for the platform: a lagging machine list and a rate-limited weight store.
+//! Stand-in for the platform: a machine list that lags behind and a rate-limited weight store.
 
 use serde::{Deserialize, Serialize};
 use serde_json::json;
@@ -9,19 +9,19 @@
 
 /// Largest request body, in bytes.
 const MAX_BODY_BYTES: usize = 1 << 20;
-/// Time over which reads of weights are counted.
+/// Window over which reads of weights are counted for the rate limit.
 const RATE_WINDOW: Duration = Duration::from_secs(1);
 
-/// One machine of the list.
+/// An entry of the machine list.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Machine {
-    /// The back end.
+    /// Name of the back end.
     pub back_end: String,
-    /// Whether it is leaving.
+    /// Whether the back end is leaving.
     pub leaving: bool,
 }
 
-/// The platform.
+/// State of the stand-in platform.
 pub struct Platform {
     lag: Duration,
     weight_reads_per_second: usize,
@@ -35,7 +35,7 @@
 }
 
 impl Platform {
-    /// A platform whose list is `lag` old.
+    /// A platform whose machine list is `lag` old.
     pub fn new(lag: Duration, weight_reads_per_second: usize) -> Arc<Self> {
         Arc::new(Self { lag, weight_reads_per_second, state: Mutex::default() })
     }
@@ -46,17 +46,17 @@
         changes.push_back((Instant::now(), machine.leaving));
     }
 
-    /// The list as it was a while ago.
+    /// The machine list as it was `lag` ago.
     fn list(&self) -> Vec<Machine> {
         let state = self.lock();
-        let seen = state.changes.iter().filter_map(|(name, changes)| {
-            let old_enough = changes.iter().rev().find(|(at, _)| at.elapsed() >= self.lag)?;
-            Some(Machine { back_end: name.clone(), leaving: old_enough.1 })
+        let visible = state.changes.iter().filter_map(|(name, changes)| {
+            let change = changes.iter().rev().find(|(at, _)| at.elapsed() >= self.lag)?;
+            Some(Machine { back_end: name.clone(), leaving: change.1 })
         });
-        seen.collect()
+        visible.collect()
     }
 
-    fn may_read_weights(&self) -> bool {
+    fn allow_weight_read(&self) -> bool {
         let mut state = self.lock();
         while state.weight_reads.front().is_some_and(|at| at.elapsed() >= RATE_WINDOW) {
             state.weight_reads.pop_front();
@@ -73,7 +73,7 @@
     }
 }
 
-/// Answers one request.
+/// Handles one request.
 pub async fn handle(platform: Arc<Platform>, mut exchange: Exchange) -> Answer {
     let path = exchange.uri.path().to_string();
     match (exchange.method.clone(), path.as_str()) {
@@ -89,7 +89,7 @@
             }
         }
         (Method::GET, path) if path.starts_with("/v1/weights/") => {
-            if platform.may_read_weights() {
+            if platform.allow_weight_read() {
                 Answer::text(StatusCode::OK, "weights\n")
             } else {
                 Answer::text(StatusCode::TOO_MANY_REQUESTS, "slow down\n")
--- a/crates/telemetry/src/json_lines.rs
+++ b/crates/telemetry/src/json_lines.rs
@@ -1,8 +1,8 @@
-//! Log records as JSON lines, written by a thread of their own.
+//! Log records as JSON lines, written by a separate thread.
 //!
-//! Nobody who logs ever waits: lines gather in a bounded buffer, and those that do not fit are
-//! dropped and counted, the less grave ones first. The writer takes all that has gathered in one
-//! write, some times a second.
+//! Logging never blocks: lines are collected in a bounded buffer, and lines that do not fit are
+//! dropped and counted, those below warning level first. The writer thread writes all buffered
+//! lines at once, several times a second.
 
 use log::kv::{Error as KvError, Key, Value, VisitSource};
 use log::{Level, LevelFilter, Log, Metadata, Record};
@@ -11,14 +11,14 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant, SystemTime};
 
-/// Bytes that may wait to be written; beyond that only warnings and errors are kept.
-const BUFFER_BYTES: usize = 256 * 1024;
-/// Bytes beyond which nothing is kept.
-const BUFFER_BYTES_GRAVE: usize = 384 * 1024;
-/// Lines gather for so long before they are written.
-const GATHER_TIME: Duration = Duration::from_millis(60);
-/// Longest wait for the buffer to be written at the end of a process.
-const FLUSH_LIMIT: Duration = Duration::from_millis(300);
+/// Buffered bytes beyond which only warnings and errors are accepted.
+const MAX_BUFFER_BYTES: usize = 256 * 1024;
+/// Buffered bytes beyond which all lines are dropped.
+const MAX_BUFFER_BYTES_WARNINGS: usize = 384 * 1024;
+/// Time for which lines are collected before a write.
+const COLLECT_TIME: Duration = Duration::from_millis(60);
+/// Longest wait of a flush, which is used at the end of a process.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
 
 #[derive(Default)]
 struct Buffer {
@@ -31,7 +31,7 @@
 struct Shared {
     buffer: Mutex<Buffer>,
     filled: Condvar,
-    /// All lines that were dropped since the start.
+    /// Lines dropped since the start.
     dropped: AtomicU64,
 }
 
@@ -41,45 +41,45 @@
     }
 }
 
-/// Tells how many lines were dropped. Cheap to clone.
+/// Counter of dropped lines; cheap to clone.
 #[derive(Clone)]
 pub struct DroppedLines(Arc<Shared>);
 
 impl DroppedLines {
-    /// Lines dropped since the start.
+    /// Number of lines dropped since the start.
     pub fn count(&self) -> u64 {
         self.0.dropped.load(Ordering::Relaxed)
     }
 }
 
-/// Writes records as JSON lines.
+/// Logger that writes records as JSON lines.
 pub struct JsonLines {
     shared: Arc<Shared>,
     level: LevelFilter,
-    /// The fields that are the same in all lines.
-    origin: String,
+    /// Encoded fields that are the same in all lines.
+    common_fields: String,
 }
 
 impl JsonLines {
-    /// Starts the writer to `output`. `process` and `machine` stand in every line.
+    /// Starts the writer thread. Every line carries `process` and `machine`.
     pub fn start(
         process: &str,
         machine: &str,
         level: LevelFilter,
         output: impl std::io::Write + Send + 'static,
     ) -> std::io::Result<Self> {
-        let mut origin = String::new();
-        push_field(&mut origin, "process", process);
-        push_field(&mut origin, "machine", machine);
+        let mut common_fields = String::new();
+        push_field(&mut common_fields, "process", process);
+        push_field(&mut common_fields, "machine", machine);
         let shared = Arc::new(Shared::default());
         let writer = shared.clone();
         std::thread::Builder::new()
             .name("log".into())
             .spawn(move || write_lines(&writer, output))?;
-        Ok(Self { shared, level, origin })
+        Ok(Self { shared, level, common_fields })
     }
 
-    /// The number of lines that were dropped, also once the logger has been handed over.
+    /// The counter of dropped lines; it stays valid after the logger has been moved.
     pub fn dropped(&self) -> DroppedLines {
         DroppedLines(self.shared.clone())
     }
@@ -87,16 +87,16 @@
     fn line(&self, record: &Record<'_>) -> String {
         let mut line = String::with_capacity(240);
         let now = SystemTime::now();
-        // Writing to a string can't fail.
+        // Writing to a string cannot fail.
         let _ = write!(line, "{{\"time\":\"{}\"", humantime::format_rfc3339_millis(now));
         push_field(&mut line, "level", level_name(record.level()));
-        line.push_str(&self.origin);
+        line.push_str(&self.common_fields);
         push_field(&mut line, "module", record.target());
         match record.args().as_str() {
             Some(text) => push_field(&mut line, "message", text),
             None => push_field(&mut line, "message", &record.args().to_string()),
         }
-        // A field that can't be shown is left out; the record itself is still written.
+        // A field that cannot be formatted is left out; the record itself is still written.
         let _ = record.key_values().visit(&mut Fields(&mut line));
         line.push_str("}\n");
         line
@@ -114,8 +114,8 @@
             return;
         }
         let line = self.line(record);
-        let grave = record.level() <= Level::Warn;
-        let limit = if grave { BUFFER_BYTES_GRAVE } else { BUFFER_BYTES };
+        let at_least_warning = record.level() <= Level::Warn;
+        let limit = if at_least_warning { MAX_BUFFER_BYTES_WARNINGS } else { MAX_BUFFER_BYTES };
         let mut buffer = self.shared.lock();
         if buffer.lines.len() + line.len() > limit {
             buffer.dropped += 1;
@@ -131,8 +131,8 @@
     }
 
     fn flush(&self) {
-        let until = Instant::now() + FLUSH_LIMIT;
-        while Instant::now() < until {
+        let deadline = Instant::now() + FLUSH_TIMEOUT;
+        while Instant::now() < deadline {
             let buffer = self.shared.lock();
             if buffer.lines.is_empty() && !buffer.writing {
                 return;
@@ -150,7 +150,7 @@
             buffer = shared.filled.wait(buffer).unwrap_or_else(PoisonError::into_inner);
         }
         drop(buffer);
-        std::thread::sleep(GATHER_TIME);
+        std::thread::sleep(COLLECT_TIME);
         let mut buffer = shared.lock();
         let mut lines = std::mem::take(&mut buffer.lines);
         let dropped = std::mem::take(&mut buffer.dropped);
@@ -162,7 +162,7 @@
                 "{{\"level\":\"warn\",\"message\":\"log lines dropped\",\"count\":\"{dropped}\"}}"
             );
         }
-        // Without a reader there is nobody to tell.
+        // If the output is closed, the error cannot be reported anywhere.
         let _ = output.write_all(lines.as_bytes());
         shared.lock().writing = false;
     }
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,4 +1,4 @@
-//! Logs by `log` and `fern`, metrics by `opentelemetry` in Prometheus' text format.
+//! Logging with `log` and `fern`, metrics with `opentelemetry` in the Prometheus text format.
 
 mod json_lines;
 mod line_limit;
--- a/crates/telemetry/src/logs.rs
+++ b/crates/telemetry/src/logs.rs
@@ -1,4 +1,4 @@
-//! Structured log records on the standard error stream.
+//! Set-up of logging: structured records on standard error, or JSON lines on standard output.
 
 use crate::json_lines::{DroppedLines, JsonLines};
 use log::kv::{Error as KvError, Key, Value, VisitSource};
@@ -6,7 +6,7 @@
 use stackpost_settings::{LogFormat, LogLevel, LogOptions};
 use std::time::SystemTime;
 
-/// Gathers the key-value pairs of a record.
+/// Collects the key-value pairs of a record.
 #[derive(Default)]
 struct Fields(Map<String, Json>);
 
@@ -17,8 +17,8 @@
     }
 }
 
-/// Starts logging as JSON lines to standard output, by a writer that nobody waits for. Returns what tells
-/// how many lines were dropped.
+/// Starts logging as JSON lines to standard output, through a writer thread that never blocks the
+/// caller. Returns the counter of dropped lines.
 pub fn start_json_lines(
     process: &str,
     machine: &str,
@@ -41,7 +41,8 @@
     }
 }
 
-/// Starts logging for `process` on machine `machine`. Rotation is the platform's affair.
+/// Starts logging to standard error for `process` on `machine`. Log rotation is left to the
+/// platform.
 pub fn start_logs(
     process: &'static str,
     machine: &str,
@@ -59,7 +60,7 @@
         .level(level)
         .format(move |out, message, record| {
             let mut fields = Fields::default();
-            // A field that can't be shown is left out; the record itself is still written.
+            // A field that cannot be formatted is left out; the record itself is still written.
             let _ = record.key_values().visit(&mut fields);
             let time = humantime::format_rfc3339_millis(SystemTime::now()).to_string();
             if as_json {
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -1,18 +1,18 @@
-//! The metrics of one process.
+//! Metrics of one process.
 
 use crate::json_lines::DroppedLines;
 use opentelemetry::metrics::{Meter, MeterProvider};
 use opentelemetry_sdk::metrics::SdkMeterProvider;
 use prometheus::{Registry, TextEncoder};
 
-/// Collects a process's metrics and writes them in Prometheus' text format.
+/// Collects a process's metrics and renders them in the Prometheus text format.
 pub struct MetricsRegistry {
     registry: Registry,
     provider: SdkMeterProvider,
 }
 
 impl MetricsRegistry {
-    /// An empty registry; the error is the exporter's.
+    /// An empty registry; fails if the exporter cannot be created.
     pub fn new() -> Result<Self, String> {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
@@ -25,14 +25,14 @@
         Ok(Self { registry, provider })
     }
 
-    /// Where instruments are made.
+    /// Meter that creates the instruments.
     pub fn meter(&self) -> Meter {
         self.provider.meter("stackpost")
     }
 
-    /// Gives out how many log lines were dropped.
+    /// Exports the number of dropped log lines.
     pub fn watch_log(&self, dropped: DroppedLines) {
-        // Dropping the handle keeps the instrument.
+        // The instrument stays registered when its handle is dropped.
         let _ = self
             .meter()
             .u64_observable_counter("stackpost_log_lines_dropped")
@@ -41,7 +41,7 @@
             .build();
     }
 
-    /// All metrics as text.
+    /// Renders all metrics as text.
     pub fn render(&self) -> Result<String, String> {
         let families = self.registry.gather();
         TextEncoder::new().encode_to_string(&families).map_err(|error| error.to_string())
--- a/crates/telemetry/tests/json_lines.rs
+++ b/crates/telemetry/tests/json_lines.rs
@@ -1,4 +1,4 @@
-//! Log lines are whole JSON, and nobody waits for whoever reads them.
+//! Every log line is complete JSON, and logging does not block when the output does.
 
 use log::{Level, LevelFilter, Log, Record};
 use serde_json::Value;
@@ -6,7 +6,7 @@
 use std::io::Write;
 use std::sync::{Arc, Condvar, Mutex};
 
-/// An output that can stand still.
+/// An output whose writes can be blocked.
 #[derive(Clone, Default)]
 struct Output {
     state: Arc<(Mutex<State>, Condvar)>,
@@ -15,29 +15,29 @@
 #[derive(Default)]
 struct State {
     text: String,
-    held: bool,
+    blocked: bool,
 }
 
 impl Output {
-    fn hold(&self, held: bool) {
-        self.state.0.lock().expect("not poisoned").held = held;
+    fn set_blocked(&self, blocked: bool) {
+        self.state.0.lock().expect("the lock is not poisoned").blocked = blocked;
         self.state.1.notify_all();
     }
 
     fn lines(&self) -> Vec<Value> {
-        let state = self.state.0.lock().expect("not poisoned");
-        let parse = |line| serde_json::from_str(line).expect("a line is whole JSON");
+        let state = self.state.0.lock().expect("the lock is not poisoned");
+        let parse = |line| serde_json::from_str(line).expect("a line is complete JSON");
         state.text.lines().map(parse).collect()
     }
 }
 
 impl Write for Output {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
-        let mut state = self.state.0.lock().expect("not poisoned");
-        while state.held {
-            state = self.state.1.wait(state).expect("not poisoned");
+        let mut state = self.state.0.lock().expect("the lock is not poisoned");
+        while state.blocked {
+            state = self.state.1.wait(state).expect("the lock is not poisoned");
         }
-        state.text.push_str(std::str::from_utf8(bytes).expect("text"));
+        state.text.push_str(std::str::from_utf8(bytes).expect("the output is UTF-8"));
         Ok(bytes.len())
     }
 
@@ -58,16 +58,17 @@
     );
 }
 
-fn started(output: &Output) -> JsonLines {
-    JsonLines::start("router", "hall-1", LevelFilter::Info, output.clone()).expect("started")
+fn start_logger(output: &Output) -> JsonLines {
+    JsonLines::start("router", "hall-1", LevelFilter::Info, output.clone())
+        .expect("start the writer thread")
 }
 
 #[test]
 fn every_line_is_json_with_the_same_fields() {
     let output = Output::default();
-    let lines = started(&output);
+    let lines = start_logger(&output);
     log(&lines, Level::Info, "a \"message\" with\ttabs");
-    log(&lines, Level::Debug, "not wanted");
+    log(&lines, Level::Debug, "below the level");
     while output.lines().is_empty() {
         lines.flush();
     }
@@ -84,30 +85,30 @@
 }
 
 #[test]
-fn a_reader_that_stands_still_costs_lines_and_no_time() {
+fn a_blocked_output_drops_lines_and_does_not_block_logging() {
     let output = Output::default();
-    output.hold(true);
-    let lines = started(&output);
+    output.set_blocked(true);
+    let lines = start_logger(&output);
     let long = "x".repeat(1_000);
     for _ in 0..2_000 {
         log(&lines, Level::Info, &long);
     }
-    log(&lines, Level::Error, "grave");
-    let registry = MetricsRegistry::new().expect("a registry");
+    log(&lines, Level::Error, "severe");
+    let registry = MetricsRegistry::new().expect("create a metrics registry");
     registry.watch_log(lines.dropped());
     let dropped = lines.dropped().count();
     assert!(dropped > 0);
-    let figures = registry.render().expect("figures");
-    let mut lines_of_figure =
-        figures.lines().filter(|line| line.starts_with("stackpost_log_lines_dropped_total"));
-    let figure = lines_of_figure.next().and_then(|line| line.rsplit(' ').next());
-    assert_eq!(figure, Some(dropped.to_string().as_str()));
-    output.hold(false);
+    let metrics = registry.render().expect("render the metrics");
+    let mut metric_lines =
+        metrics.lines().filter(|line| line.starts_with("stackpost_log_lines_dropped_total"));
+    let value = metric_lines.next().and_then(|line| line.rsplit(' ').next());
+    assert_eq!(value, Some(dropped.to_string().as_str()));
+    output.set_blocked(false);
     while !output.lines().iter().any(|line| line["message"] == "log lines dropped") {
         log(&lines, Level::Info, "more");
         lines.flush();
     }
     let written = output.lines();
-    assert!(written.iter().any(|line| line["message"] == "grave"), "the grave line is kept");
+    assert!(written.iter().any(|line| line["message"] == "severe"), "the error line was dropped");
     assert!(written.len() < 2_000);
 }
--- a/crates/telemetry/tests/line_limit.rs
+++ b/crates/telemetry/tests/line_limit.rs
@@ -1,10 +1,10 @@
-//! Lines that outsiders bring about are bounded, and those held back are counted.
+//! Log lines that external peers can trigger are rate limited, and the suppressed ones are counted.
 
 use stackpost_telemetry::LineLimit;
 use std::time::{Duration, Instant};
 
 #[test]
-fn one_line_passes_a_second_and_the_others_are_counted() {
+fn one_line_per_second_passes_and_the_others_are_counted() {
     let (limit, start) = (LineLimit::default(), Instant::now());
     let at = |milliseconds| start + Duration::from_millis(milliseconds);
     assert_eq!(limit.pass(at(0)), Some(0));
--- a/scripts/fleet.sh
+++ b/scripts/fleet.sh
@@ -1,10 +1,11 @@
-# Functions that start and end a whole fleet on loopback addresses. Sourced by other scripts,
-# which set `example` (a folder with fleet.jsonc and table.jsonc), `bin` (the programs) and `run`
-# (a folder for everything that is written).
+# Functions that start and stop a whole fleet on loopback addresses. Sourced by other scripts,
+# which set `example` (a folder with fleet.jsonc and table.jsonc), `bin` (the folder of the
+# programs) and `run` (a folder for all files that are written).
 
 pids=()
 
-# Starts a program in the background and remembers it. Usage: start LOG PROGRAM ARGUMENT...
+# Starts a program in the background and records its process id.
+# Usage: start LOG PROGRAM ARGUMENT...
 start() {
   local log=$1
   shift
@@ -13,7 +14,7 @@
   last_pid=$!
 }
 
-# Ends everything that was started, by process id.
+# Terminates all started processes by process id: SIGTERM, then SIGKILL after 10 s.
 end_fleet() {
   local pid
   for pid in "${pids[@]}"; do kill -TERM "$pid" 2>/dev/null || true; done
@@ -29,7 +30,7 @@
   wait 2>/dev/null || true
 }
 
-# Waits until a command succeeds. Usage: wait_for SECONDS WHAT COMMAND...
+# Waits until a command succeeds; fails after SECONDS. Usage: wait_for SECONDS WHAT COMMAND...
 wait_for() {
   local deadline=$((SECONDS + $1)) what=$2
   shift 2
@@ -42,7 +43,7 @@
   done
 }
 
-# The operator's command line with this fleet's settings.
+# Runs the operators' command line with this fleet's settings.
 stackpost() { "$bin/stackpost" --settings "$run/fleet.jsonc" --key-file "$run/operator.key" "$@"; }
 
 all_routers_ready() {
@@ -54,7 +55,7 @@
 
 leader_known() { stackpost status | grep -q ' leader '; }
 
-# Writes the settings and a new operator's key into the run folder.
+# Writes the settings and a new operator key into the run folder.
 prepare_fleet() {
   mkdir -p "$run"
   cp "$example/fleet.jsonc" "$example/table.jsonc" "$run/"
--- a/scripts/measure.sh
+++ b/scripts/measure.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Measures the real processes of the Lagos fleet, release build: the router against direct calls
-# of the same engine, requests per core, and each process's processor time, memory and bytes, idle
-# and loaded. Usage: scripts/measure.sh [RATE]
+# Measures the real processes of the Lagos fleet, release build: the router compared with direct
+# calls of the same engine, requests per core, and each process's CPU time, memory and bytes sent,
+# idle and loaded. Usage: scripts/measure.sh [RATE]
 set -euo pipefail
 cd "$(dirname "$0")/.."
 rate=${1:-200}
@@ -15,11 +15,11 @@
 start_standins
 start_fleet >/dev/null
 
-# Processor ticks that a process has used.
+# CPU time of a process, in clock ticks.
 ticks() { awk '{ print $14 + $15 }' "/proc/$1/stat"; }
-# Resident memory in MB.
+# Resident memory of a process, in MB.
 memory() { awk '/VmRSS/ { printf "%.1f", $2 / 1024 }' "/proc/$1/status"; }
-# Bytes sent over a process's open connections; needs ss.
+# Bytes sent over the open connections of a process; 0 without the ss tool.
 sent() {
   command -v ss >/dev/null || { echo 0; return; }
   ss -tinpH 2>/dev/null | awk -v pid="pid=$1," '
@@ -28,7 +28,7 @@
     END { print sum + 0 }'
 }
 
-# Samples all routers and control replicas for some seconds. Usage: sample NAME SECONDS
+# Measures all routers and control replicas over SECONDS. Usage: sample NAME SECONDS
 sample() {
   local name=$1 seconds=$2 pid before=() bytes=()
   mapfile -t watched < <(pgrep -f "$bin/stackpost-(router|control) --settings $run/" || true)
