--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -35,8 +35,9 @@
     /// The next chunk; `None` at the end.
     pub async fn next(&mut self) -> Option<Result<Bytes, BodyError>> {
         loop {
-            let frame = std::future::poll_fn(|context| Pin::new(&mut self.0).poll_frame(context));
-            match frame.await? {
+            let next_frame =
+                std::future::poll_fn(|context| Pin::new(&mut self.0).poll_frame(context));
+            match next_frame.await? {
                 Ok(Frame::Data(data)) => return Some(Ok(data)),
                 Ok(Frame::Trailers(_)) => {}
                 Err(error) => return Some(Err(BodyError::Incomplete(error.to_string()))),
