--- a/crates/cli/src/commands/explain.rs
+++ b/crates/cli/src/commands/explain.rs
@@ -1,43 +1,45 @@
-//! Why a request went the way it went.
+//! `explain`: the decisions made for one request.
 
 use super::Context;
-use crate::client::From;
-use crate::output::{CommandError, Form, print_json};
+use crate::client::MachineResponse;
+use crate::output::{CommandError, OutputFormat, print_json};
 use stackpost_router_core::Trace;
 use stackpost_types::RequestId;
 use std::process::ExitCode;
 
 pub(crate) async fn run(context: &Context, request: &str) -> Result<ExitCode, CommandError> {
-    // A decision id names the router behind an `@`; the request id alone is enough.
+    // A decision id has the router's name after an `@`; only the request id is needed.
     let request = request.split('@').next().unwrap_or_default();
     if RequestId::parse(request).is_none() {
         return Err(CommandError::Usage("request: allowed: 32 hexadecimal digits".into()));
     }
     let path = format!("/v1/explain?request={request}");
-    let answers: Vec<From<Trace>> = context.fleet.ask_routers(&path).await;
-    let found: Vec<_> = answers.iter().filter(|from| from.answer.is_ok()).collect();
-    if context.form == Form::Json {
+    let responses: Vec<MachineResponse<Trace>> = context.fleet.get_from_routers(&path).await;
+    let with_trace: Vec<_> = responses.iter().filter(|reply| reply.response.is_ok()).collect();
+    if context.output_format == OutputFormat::Json {
         let traces: Vec<_> =
-            found.iter().map(|from| (&from.machine, from.answer.as_ref().ok())).collect();
+            with_trace.iter().map(|reply| (&reply.machine, reply.response.as_ref().ok())).collect();
         print_json(&traces)?;
     } else {
-        for from in &found {
-            if let Ok(trace) = &from.answer {
-                print_trace(from.machine.as_str(), trace);
+        for reply in &with_trace {
+            if let Ok(trace) = &reply.response {
+                print_trace(reply.machine.as_str(), trace);
             }
         }
     }
-    if found.is_empty() {
-        let reasons: Vec<String> = answers
+    if with_trace.is_empty() {
+        let reasons: Vec<String> = responses
             .iter()
-            .filter_map(|from| Some(format!("{}: {}", from.machine, from.answer.as_ref().err()?)))
+            .filter_map(|reply| {
+                Some(format!("{}: {}", reply.machine, reply.response.as_ref().err()?))
+            })
             .collect();
         return Err(CommandError::Fleet(format!("no router knows it: {}", reasons.join("; "))));
     }
     Ok(ExitCode::SUCCESS)
 }
 
-/// Prints a request's steps with the time since the first.
+/// Prints the steps of a request with the time since the first step.
 pub(crate) fn print_trace(machine: &str, trace: &Trace) {
     println!("request {} on {machine}", trace.request);
     let first = trace.steps.first().map(|(at, _)| *at).unwrap_or_default();
