--- a/crates/balance/src/back_end.rs
+++ b/crates/balance/src/back_end.rs
@@ -137,7 +137,7 @@
     }
 
     /// Records the end of a request sent there.
-    pub fn on_end(&mut self) {
+    pub fn on_request_end(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.recent_dispatches.pop_back();
     }
--- a/crates/balance/tests/choice.rs
+++ b/crates/balance/tests/choice.rs
@@ -123,7 +123,7 @@
     balancer.get_mut(&name).expect("known back end").on_failure(Timestamp(later), &policy);
     assert_eq!(choose(&balancer, later + policy.eject_ms, &[], true), Choice::NoneAvailable);
     balancer.get_mut(&name).expect("known back end").on_success();
-    balancer.get_mut(&name).expect("known back end").on_end();
+    balancer.get_mut(&name).expect("known back end").on_request_end();
     assert_eq!(chosen(choose(&balancer, later, &[], true)), "one");
 }
 
--- a/crates/bench/src/rates.rs
+++ b/crates/bench/src/rates.rs
@@ -139,7 +139,7 @@
                 return;
             }
         }
-        if matches!(availability, PermitAvailability::Spent { soonest, .. } if soonest > PERMIT_TIMEOUT)
+        if matches!(availability, PermitAvailability::Exhausted { soonest, .. } if soonest > PERMIT_TIMEOUT)
         {
             shedding.on_no_permit(now, &self.service);
             self.counts.refused += 1;
--- a/crates/bench/src/refusals.rs
+++ b/crates/bench/src/refusals.rs
@@ -6,7 +6,7 @@
 use rand_chacha::ChaCha8Rng;
 use stackpost_router_core::RefusalReason;
 use stackpost_sim::{
-    AttemptEnd, CallerId, Cut, Defect, Demand, FleetShape, Promise, RequestPlan, World, check,
+    AttemptEnd, CallerId, Cut, Defect, Demand, FleetShape, Invariant, RequestPlan, World, check,
 };
 use stackpost_types::ZoneName;
 use std::collections::BTreeMap;
@@ -192,7 +192,8 @@
     let limits = world.shape.limits.clone();
     let (false_refusals, by_reason) = count_false_refusals(&world, &bounds, &limits);
     let violations = check(&world);
-    let overspend = violations.iter().filter(|found| found.promise == Promise::NoOverspend).count();
+    let overspend =
+        violations.iter().filter(|found| found.invariant == Invariant::NoOverspend).count();
     Measured {
         requests: world.callers.records.len() as u64,
         answered: world.callers.records.values().filter(|r| r.is_answered()).count() as u64,
--- a/crates/cli/src/commands/file.rs
+++ b/crates/cli/src/commands/file.rs
@@ -4,7 +4,7 @@
 use clap::ArgMatches;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
-use stackpost_settings::{Checked, Problem, load};
+use stackpost_settings::{Problem, Validate, load};
 use stackpost_table::{Row, RowKey, ServiceKind, TableName, parse_key, parse_row};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -24,7 +24,7 @@
 #[serde(transparent)]
 pub(crate) struct RowFile(pub Vec<FileRow>);
 
-impl Checked for RowFile {
+impl Validate for RowFile {
     fn check(&self) -> Result<(), Problem> {
         for (index, entry) in self.0.iter().enumerate() {
             let problem = |error: stackpost_table::FieldError| {
--- a/crates/consensus/tests/membership.rs
+++ b/crates/consensus/tests/membership.rs
@@ -49,10 +49,10 @@
     fn run_until_leader(&mut self) -> MachineName {
         for _ in 0..400 {
             self.step();
-            let leads = |raft: &&Raft| raft.lease_until().is_some_and(|until| self.now < until);
+            let is_leader = |raft: &&Raft| raft.lease_until().is_some_and(|until| self.now < until);
             let reachable =
                 self.replicas.iter().filter(|(machine, _)| !self.isolated.contains(machine));
-            if let Some((machine, _)) = reachable.into_iter().find(|(_, raft)| leads(raft)) {
+            if let Some((machine, _)) = reachable.into_iter().find(|(_, raft)| is_leader(raft)) {
                 return machine.clone();
             }
         }
--- a/crates/coordinator/src/control_metrics.rs
+++ b/crates/coordinator/src/control_metrics.rs
@@ -13,7 +13,7 @@
 /// Gauge values of a control process at one moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct ControlGauges {
-    pub leads: bool,
+    pub is_leader: bool,
     pub term: u64,
     pub applied: u64,
     pub configuration_version: u64,
@@ -36,7 +36,7 @@
     departures: Counter<u64>,
     sightings: Counter<u64>,
     round_seconds: Histogram<f64>,
-    leads: Gauge<u64>,
+    is_leader: Gauge<u64>,
     term: Gauge<u64>,
     applied: Gauge<u64>,
     configuration_version: Gauge<u64>,
@@ -78,7 +78,7 @@
                 .with_description("Time of one round of the replica, its synced writes included")
                 .with_boundaries(ROUND_BUCKETS.to_vec())
                 .build(),
-            leads: gauge("stackpost_leads", "1 while this replica certainly leads"),
+            is_leader: gauge("stackpost_leads", "1 while this replica certainly leads"),
             term: gauge("stackpost_consensus_term", "Term of the replicated log"),
             applied: gauge("stackpost_consensus_applied", "Last entry of the log that is applied"),
             configuration_version: gauge("stackpost_configuration_version", "Configuration held"),
@@ -140,7 +140,7 @@
 
     /// Records the gauges; called at regular intervals.
     pub(crate) fn record_gauges(&self, gauges: &ControlGauges) {
-        self.leads.record(u64::from(gauges.leads), &[]);
+        self.is_leader.record(u64::from(gauges.is_leader), &[]);
         self.term.record(gauges.term, &[]);
         self.applied.record(gauges.applied, &[]);
         self.configuration_version.record(gauges.configuration_version, &[]);
--- a/crates/coordinator/src/control_node.rs
+++ b/crates/coordinator/src/control_node.rs
@@ -284,8 +284,8 @@
             }
             ReplicaEffect::QuarantineChanged => self.broadcast_quarantine(),
             ReplicaEffect::DeparturesChanged => self.sync_departures(),
-            ReplicaEffect::RoleChanged(leads) => {
-                log::info!(leads = leads; "role changed");
+            ReplicaEffect::RoleChanged(is_leader) => {
+                log::info!(leads = is_leader; "role changed");
                 self.broadcast_quarantine();
                 self.broadcast_departures();
                 self.on_tick();
@@ -298,8 +298,8 @@
         if let Some(document) = &view.document {
             self.state.borrow_mut().cache_document(document);
         }
-        log::info!(version = version, leads = view.leads(); "configuration in force");
-        if view.leads() {
+        log::info!(version = version, leads = view.is_leader(); "configuration in force");
+        if view.is_leader() {
             self.broadcast_document();
         }
     }
@@ -312,7 +312,7 @@
         };
         let quarantined = view.quarantine.notice().quarantined.len();
         ControlGauges {
-            leads: view.leads(),
+            is_leader: view.is_leader(),
             term: view.term,
             applied: view.applied,
             configuration_version: view.document_version(),
@@ -329,7 +329,7 @@
     /// Sends the quarantine notice to all routers if this replica leads.
     fn broadcast_quarantine(&self) {
         let view = self.replica.view();
-        if view.leads() {
+        if view.is_leader() {
             let routers = self.state.borrow().links.one_per_peer(self.now(), PeerRole::Router);
             let notice = view.quarantine.notice();
             self.mesh.send_all(routers, &FleetMessage::Quarantined(notice));
@@ -358,15 +358,15 @@
             let message = FleetMessage::Engines(refreshed);
             self.mesh.send_all(state.links.one_per_peer(now, PeerRole::Control), &message);
         }
-        state.directory.forget_old(now);
-        state.departures.forget_old(now);
+        state.directory.remove_expired(now);
+        state.departures.remove_expired(now);
     }
 
     fn status(&self) -> ControlStatus {
         let view = self.replica.view();
         let state = self.state.borrow();
         ControlStatus {
-            leads: view.leads(),
+            is_leader: view.is_leader(),
             document_version: view.document_version(),
             departures: state.departures.revision(),
             clock: self.replica.now(),
--- a/crates/coordinator/src/departures.rs
+++ b/crates/coordinator/src/departures.rs
@@ -109,7 +109,7 @@
             state.departures.revision()
         };
         self.committed_departures_revision.send_replace(revision);
-        if self.replica.view().leads() {
+        if self.replica.view().is_leader() {
             self.broadcast_departures();
         }
     }
@@ -121,7 +121,7 @@
             entry.delivery.departures.confirm(revision);
         }
         let view = self.replica.view();
-        if view.leads() {
+        if view.is_leader() {
             self.send_departures(&[link], &view);
         }
     }
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -38,7 +38,7 @@
 pub use engine_updates::AnnouncementError;
 pub use links::{Link, Links};
 pub use message::{
-    BorrowAnswer, ClockEcho, ControlStatus, Document, FleetMessage, RouterStatus, RouterVersions,
+    BorrowResult, ClockEcho, ControlStatus, Document, FleetMessage, RouterStatus, RouterVersions,
 };
 pub use packed_document::PackedDocument;
 pub use replica::Replica;
--- a/crates/coordinator/src/message.rs
+++ b/crates/coordinator/src/message.rs
@@ -27,7 +27,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ControlStatus {
     /// Whether it is the leader and no other replica can have been elected since.
-    pub leads: bool,
+    pub is_leader: bool,
     /// Version of the latest configuration it has applied; zero if there is none.
     pub document_version: u64,
     /// Revision of the engines' departures that it holds.
@@ -84,7 +84,7 @@
 
 /// Reply of a router to another one that wants to borrow tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum BorrowAnswer {
+pub enum BorrowResult {
     /// The tokens it may spend do not cover the request, and the leader has granted it none for it.
     NotCovered,
     /// The tokens are reserved.
@@ -147,7 +147,7 @@
         /// Identifies the loan.
         token: u64,
         /// Whether the tokens are reserved.
-        answer: BorrowAnswer,
+        answer: BorrowResult,
     },
     /// From the borrower: the request has finished.
     SettleLoan {
--- a/crates/coordinator/src/replica.rs
+++ b/crates/coordinator/src/replica.rs
@@ -150,7 +150,7 @@
     }
 
     /// Whether this replica is the leader and no other can have been elected since.
-    pub fn leads(&self, now: Timestamp) -> bool {
+    pub fn is_leader(&self, now: Timestamp) -> bool {
         self.lease_until().is_some_and(|until| now < until)
     }
 
@@ -191,7 +191,7 @@
             self.plan_prepaid(now);
             self.plan_voters(now);
         }
-        if self.leads(now) {
+        if self.is_leader(now) {
             let changes = self.crash_watch.on_tick(now, &self.state.quarantine);
             changes.into_iter().for_each(|change| self.propose_quarantine(change));
             let expired = self.departure_watch.on_tick(now, &self.state.departures);
@@ -200,7 +200,7 @@
     }
 
     fn on_crash_report(&mut self, now: Timestamp, change: QuarantineChange) {
-        if self.leads(now)
+        if self.is_leader(now)
             && let Some(change) = self.crash_watch.on_report(&self.state.quarantine, change)
         {
             self.propose_quarantine(change);
@@ -208,7 +208,7 @@
     }
 
     fn on_announced(&mut self, now: Timestamp, engine: BackEndName) {
-        if self.leads(now)
+        if self.is_leader(now)
             && let Some(change) = self.crash_watch.on_announced(&self.state.quarantine, engine)
         {
             self.propose_quarantine(change);
@@ -311,7 +311,7 @@
     }
 
     fn plan_prepaid(&mut self, now: Timestamp) {
-        if self.raft.role() != Role::Leader || !self.leads(now) {
+        if self.raft.role() != Role::Leader || !self.is_leader(now) {
             return;
         }
         for command in self.planner.plan(now, &self.state.ledger) {
@@ -328,7 +328,7 @@
     }
 
     fn plan_voters(&mut self, now: Timestamp) {
-        if !self.leads(now) || self.raft.may_change_voters().is_err() {
+        if !self.is_leader(now) || self.raft.may_change_voters().is_err() {
             return;
         }
         let mut voters = self.raft.voters().clone();
--- a/crates/coordinator/src/replica_thread.rs
+++ b/crates/coordinator/src/replica_thread.rs
@@ -45,7 +45,7 @@
 
 impl ReplicaView {
     /// Whether the replica is the leader and its lease has not expired.
-    pub fn leads(&self) -> bool {
+    pub fn is_leader(&self) -> bool {
         self.lease_until.is_some_and(|until| BootInstant::now() < until)
     }
 
--- a/crates/coordinator/src/router_updates.rs
+++ b/crates/coordinator/src/router_updates.rs
@@ -76,7 +76,7 @@
         self.send_silent(&[link]);
         self.send_router_list(link);
         let view = self.replica.view();
-        if view.leads() || accepts_unconfirmed {
+        if view.is_leader() || accepts_unconfirmed {
             self.send_document(&[link], &view);
             self.send_departures(&[link], &view);
         }
--- a/crates/coordinator/tests/replicas.rs
+++ b/crates/coordinator/tests/replicas.rs
@@ -95,7 +95,7 @@
     world.run_for(25_000);
     let leader = world.machines.iter().filter_map(|machine| machine.replica.as_ref());
     let voters = leader
-        .filter(|replica| replica.leads(Timestamp(world.now)))
+        .filter(|replica| replica.is_leader(Timestamp(world.now)))
         .map(|replica| replica.voters().clone())
         .next()
         .expect("a leader among the others");
--- a/crates/coordinator/tests/support/mod.rs
+++ b/crates/coordinator/tests/support/mod.rs
@@ -213,11 +213,11 @@
 
     /// The machines that consider themselves the leader, by their own clocks.
     pub fn lease_holders(&self) -> Vec<usize> {
-        let leads = |machine: &usize| {
+        let is_leader = |machine: &usize| {
             let replica = self.machines[*machine].replica.as_ref();
-            replica.is_some_and(|replica| replica.leads(self.clock(*machine)))
+            replica.is_some_and(|replica| replica.is_leader(self.clock(*machine)))
         };
-        (0..self.machines.len()).filter(leads).collect()
+        (0..self.machines.len()).filter(is_leader).collect()
     }
 
     pub fn stop(&mut self, machine: usize, downtime: u64) {
@@ -391,7 +391,7 @@
             .machines
             .iter()
             .filter_map(|machine| machine.replica.as_ref())
-            .filter(|replica| replica.leads(Timestamp(self.now)))
+            .filter(|replica| replica.is_leader(Timestamp(self.now)))
             .map(|replica| replica.voters().clone().into_iter().collect())
             .collect();
         let settled = voters.len() == 1
--- a/crates/gateway-core/src/account_owners.rs
+++ b/crates/gateway-core/src/account_owners.rs
@@ -50,7 +50,7 @@
     }
 
     /// Records that a router has not responded.
-    pub fn on_no_answer(&mut self, now: Timestamp, router: SocketAddr) {
+    pub fn on_no_response(&mut self, now: Timestamp, router: SocketAddr) {
         self.unresponsive_until.retain(|_, until| now < *until);
         self.unresponsive_until.insert(router, now + UNRESPONSIVE_TIME);
     }
--- a/crates/gateway-core/src/backoff.rs
+++ b/crates/gateway-core/src/backoff.rs
@@ -111,13 +111,13 @@
     }
 
     /// Number of engines that are backing off.
-    pub fn resting(&self, now: Timestamp) -> usize {
+    pub fn backing_off(&self, now: Timestamp) -> usize {
         self.backoffs.values().filter(|backoff| backoff.until > now).count()
     }
 
     /// Removes engines that the directory no longer knows, so that the memory is bounded by the
     /// directory.
-    pub fn forget_unknown(&mut self, directory: &EngineDirectory) {
+    pub fn remove_unknown(&mut self, directory: &EngineDirectory) {
         self.backoffs.retain(|engine, _| directory.get(engine).is_some());
         self.leaving.retain(|engine| directory.get(engine).is_some());
     }
--- a/crates/gateway-core/src/departures.rs
+++ b/crates/gateway-core/src/departures.rs
@@ -195,7 +195,7 @@
     }
 
     /// Removes records received a long time ago.
-    pub fn forget_old(&mut self, now: Timestamp) {
+    pub fn remove_expired(&mut self, now: Timestamp) {
         self.records.retain(|_, (_, received_at)| now.since(*received_at) < FOLLOWER_RETENTION);
     }
 }
--- a/crates/gateway-core/src/directory.rs
+++ b/crates/gateway-core/src/directory.rs
@@ -396,7 +396,7 @@
     }
 
     /// Removes engines that left a long time ago.
-    pub fn forget_old(&mut self, now: Timestamp) {
+    pub fn remove_expired(&mut self, now: Timestamp) {
         self.engines.retain(|_, record| {
             record.notice.state != EngineState::Gone
                 || now.since(record.announced_at) < GONE_RETENTION
--- a/crates/gateway-core/src/engine_load.rs
+++ b/crates/gateway-core/src/engine_load.rs
@@ -71,7 +71,7 @@
     /// Weight of the router's streams that run there.
     pub running: f32,
     /// Tokens to prefill that were sent there since the last update.
-    pub to_read: u32,
+    pub pending_prefill: u32,
     /// Time, in milliseconds, for which their prefill stalls streams there, counting only prefills
     /// long enough to miss the gap objective.
     pub long_prefill_ms: u32,
@@ -91,7 +91,7 @@
     /// The work of the request.
     pub work: GenerationWork,
     /// Hash of the subject of the request, which identifies the shared prefix.
-    pub subject: Option<u64>,
+    pub prefix_hash: Option<u64>,
     /// The estimate for the engine.
     pub estimate: PlacementEstimate,
     /// The expected cost.
@@ -102,14 +102,14 @@
 #[derive(Clone, Copy, Debug)]
 struct PendingPrefill {
     sent_watermark: f64,
-    to_read: f64,
+    pending_prefill: f64,
     expected_at: Timestamp,
 }
 
 /// The load of one engine.
 #[derive(Clone, Debug, Default)]
 pub struct EngineLoad {
-    to_read: f64,
+    pending_prefill: f64,
     to_read_at: Timestamp,
     /// All tokens that were ever sent to be prefilled.
     sent: f64,
@@ -133,9 +133,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PlacementEstimate {
     /// Tokens of this prompt that the engine has to prefill.
-    pub to_read: f64,
+    pub pending_prefill: f64,
     /// Tokens of earlier prompts that it has to prefill first.
-    pub ahead: f64,
+    pub queued_prefill: f64,
     /// Time to the first event, in milliseconds.
     pub first_event_ms: f64,
     /// Time for which running streams are slowed down by prefill, in milliseconds, without this
@@ -146,7 +146,7 @@
     /// Weight of the streams that run there.
     pub running: f64,
     /// Recent share of time in which long prefills stalled the streams there.
-    pub long_readings: f64,
+    pub long_prefill_share: f64,
     /// All tokens that had been sent there when this request was, including its own.
     sent_watermark: f64,
 }
@@ -154,10 +154,10 @@
 impl EngineLoad {
     /// Tokens left to prefill: those not yet worked off by the elapsed time, but at least those of
     /// this router's own requests without a first event.
-    pub fn to_read(&self, now: Timestamp, typical_speed: Option<f64>) -> f64 {
+    pub fn pending_prefill(&self, now: Timestamp, typical_speed: Option<f64>) -> f64 {
         let prefilled = now.since(self.to_read_at).0 as f64 * self.prefill_speed(typical_speed);
-        let outstanding: f64 = self.pending.iter().map(|pending| pending.to_read).sum();
-        (self.to_read - prefilled).max(outstanding)
+        let outstanding: f64 = self.pending.iter().map(|pending| pending.pending_prefill).sum();
+        (self.pending_prefill - prefilled).max(outstanding)
     }
 
     /// Largest delay of an outstanding first event beyond its expected time.
@@ -179,13 +179,13 @@
     }
 
     /// Recent share of time in which streams there were stalled by long prefills.
-    pub fn long_readings(&self, now: Timestamp) -> f64 {
+    pub fn long_prefill_share(&self, now: Timestamp) -> f64 {
         (self.long_prefill_remaining(now) / LONG_PREFILL_DECAY_MS).min(1.0)
     }
 
     /// Whether the engine is assumed to have a prefix cached.
-    pub fn has_cached(&self, now: Timestamp, subject: u64) -> bool {
-        self.cached.get(&subject).is_some_and(|at| now.since(*at) < PREFIX_TTL)
+    pub fn has_cached(&self, now: Timestamp, prefix_hash: u64) -> bool {
+        self.cached.get(&prefix_hash).is_some_and(|at| now.since(*at) < PREFIX_TTL)
     }
 
     /// The estimate for a request that is sent there now. `cached` is whether the shared prefix of
@@ -199,19 +199,21 @@
     ) -> PlacementEstimate {
         let prefill_speed = self.prefill_speed(typical_speed);
         let shared = if cached { 0.0 } else { work.shared.0 as f64 };
-        let to_read = work.own.0 as f64 + shared;
-        let ahead = self.to_read(now, typical_speed);
-        let recent = self.recently_sent(now).max(ahead);
+        let pending_prefill = work.own.0 as f64 + shared;
+        let queued_prefill = self.pending_prefill(now, typical_speed);
+        let recent = self.recently_sent(now).max(queued_prefill);
         let overdue = self.overdue(now).0 as f64;
         PlacementEstimate {
-            to_read,
-            ahead,
-            first_event_ms: FIRST_EVENT_OVERHEAD_MS + (ahead + to_read) / prefill_speed + overdue,
+            pending_prefill,
+            queued_prefill,
+            first_event_ms: FIRST_EVENT_OVERHEAD_MS
+                + (queued_prefill + pending_prefill) / prefill_speed
+                + overdue,
             prefill_before_ms: recent / prefill_speed,
-            prefill_ms: (recent + to_read) / prefill_speed,
+            prefill_ms: (recent + pending_prefill) / prefill_speed,
             running: self.running(now),
-            long_readings: self.long_readings(now),
-            sent_watermark: self.sent + to_read,
+            long_prefill_share: self.long_prefill_share(now),
+            sent_watermark: self.sent + pending_prefill,
         }
     }
 
@@ -219,21 +221,22 @@
     pub fn on_sent(&mut self, now: Timestamp, typical_speed: Option<f64>, sent: &Placement) {
         let (work, estimate) = (&sent.work, &sent.estimate);
         let stall_ms = long_prefill(estimate.prefill_ms, work.gap_objective);
-        self.add(now, typical_speed, estimate.to_read, stall_ms);
+        self.add(now, typical_speed, estimate.pending_prefill, stall_ms);
         self.own_running += work.weight();
         let expected_at = now + Millis(estimate.first_event_ms as u64);
         self.pending.push(PendingPrefill {
             sent_watermark: estimate.sent_watermark,
-            to_read: estimate.to_read,
+            pending_prefill: estimate.pending_prefill,
             expected_at,
         });
-        self.unreported.to_read = self.unreported.to_read.saturating_add(estimate.to_read as u32);
+        self.unreported.pending_prefill =
+            self.unreported.pending_prefill.saturating_add(estimate.pending_prefill as u32);
         self.unreported.long_prefill_ms =
             self.unreported.long_prefill_ms.saturating_add(stall_ms as u32);
-        if let Some(subject) = sent.subject {
-            self.note_cached(now, subject);
+        if let Some(prefix_hash) = sent.prefix_hash {
+            self.note_cached(now, prefix_hash);
             if work.shared >= MIN_REPORTED_PREFIX {
-                self.unreported.prefixes.push(subject);
+                self.unreported.prefixes.push(prefix_hash);
             }
         }
     }
@@ -250,10 +253,10 @@
     ) -> Option<f64> {
         self.remove_pending(estimate);
         let sent_since = (self.sent - estimate.sent_watermark).max(0.0);
-        if sent_since < self.to_read {
+        if sent_since < self.pending_prefill {
             self.set_to_read(now, sent_since);
         }
-        let prefilled = estimate.ahead + estimate.to_read;
+        let prefilled = estimate.queued_prefill + estimate.pending_prefill;
         if prefilled < MIN_SPEED_SAMPLE_TOKENS {
             return None;
         }
@@ -264,7 +267,7 @@
     }
 
     /// Records the end of a request.
-    pub fn on_end(&mut self, work: &GenerationWork, estimate: &PlacementEstimate) {
+    pub fn on_request_end(&mut self, work: &GenerationWork, estimate: &PlacementEstimate) {
         self.remove_pending(estimate);
         let remaining = self.own_running - work.weight();
         // Adding and subtracting fractions leaves a rounding error, which is no stream.
@@ -279,7 +282,12 @@
         router: u64,
         update: &EngineLoadUpdate,
     ) {
-        self.add(now, typical_speed, f64::from(update.to_read), f64::from(update.long_prefill_ms));
+        self.add(
+            now,
+            typical_speed,
+            f64::from(update.pending_prefill),
+            f64::from(update.long_prefill_ms),
+        );
         for prefix in &update.prefixes {
             self.note_cached(now, *prefix);
         }
@@ -292,12 +300,12 @@
     }
 
     /// Records that an engine has a prefix cached.
-    pub fn note_cached(&mut self, now: Timestamp, subject: u64) {
+    pub fn note_cached(&mut self, now: Timestamp, prefix_hash: u64) {
         if self.cached.len() >= MAX_CACHED_PREFIXES {
             self.cached.retain(|_, at| now.since(*at) < PREFIX_TTL);
         }
         if self.cached.len() < MAX_CACHED_PREFIXES {
-            self.cached.insert(subject, now);
+            self.cached.insert(prefix_hash, now);
         }
     }
 
@@ -309,7 +317,7 @@
     }
 
     /// Removes expired updates of other routers and expired prefixes.
-    pub fn forget_old(&mut self, now: Timestamp) {
+    pub fn remove_expired(&mut self, now: Timestamp) {
         self.peers.retain(|_, load| now.since(load.at) < PEER_LOAD_TTL);
         self.cached.retain(|_, at| now.since(*at) < PREFIX_TTL);
     }
@@ -317,12 +325,12 @@
     /// Whether this engine needs an update to other routers: this router has streams there, its
     /// last one has just ended, or there are unreported tokens.
     pub fn has_update(&self) -> bool {
-        self.own_running > 0.0 || self.reported_running > 0.0 || self.unreported.to_read > 0
+        self.own_running > 0.0 || self.reported_running > 0.0 || self.unreported.pending_prefill > 0
     }
 
     /// Tokens to prefill that have not been reported to other routers.
     pub fn unreported(&self) -> Tokens {
-        Tokens(u64::from(self.unreported.to_read))
+        Tokens(u64::from(self.unreported.pending_prefill))
     }
 
     fn remove_pending(&mut self, estimate: &PlacementEstimate) {
@@ -335,18 +343,24 @@
         }
     }
 
-    fn add(&mut self, now: Timestamp, typical_speed: Option<f64>, to_read: f64, stall_ms: f64) {
-        let remaining = self.to_read(now, typical_speed);
-        self.set_to_read(now, remaining + to_read);
-        self.sent += to_read;
-        self.recently_sent = self.recently_sent(now) + to_read;
+    fn add(
+        &mut self,
+        now: Timestamp,
+        typical_speed: Option<f64>,
+        pending_prefill: f64,
+        stall_ms: f64,
+    ) {
+        let remaining = self.pending_prefill(now, typical_speed);
+        self.set_to_read(now, remaining + pending_prefill);
+        self.sent += pending_prefill;
+        self.recently_sent = self.recently_sent(now) + pending_prefill;
         self.recently_sent_at = now;
         self.long_prefill_ms = self.long_prefill_remaining(now) + stall_ms;
         self.long_prefill_at = now;
     }
 
-    fn set_to_read(&mut self, now: Timestamp, to_read: f64) {
-        self.to_read = to_read.max(0.0);
+    fn set_to_read(&mut self, now: Timestamp, pending_prefill: f64) {
+        self.pending_prefill = pending_prefill.max(0.0);
         self.to_read_at = now;
     }
 
--- a/crates/gateway-core/src/engine_permits.rs
+++ b/crates/gateway-core/src/engine_permits.rs
@@ -41,7 +41,7 @@
     /// Every engine states a rate, and a permit is available.
     Available,
     /// Every engine states a rate, and no permit is available.
-    Spent {
+    Exhausted {
         /// Time until the first permit.
         soonest: Millis,
         /// The engine that this permit is for.
@@ -256,7 +256,7 @@
             None => PermitAvailability::Unlimited,
             Some((Millis(0), _)) => PermitAvailability::Available,
             Some((soonest, engine)) => {
-                PermitAvailability::Spent { soonest, engine: engine.clone() }
+                PermitAvailability::Exhausted { soonest, engine: engine.clone() }
             }
         }
     }
@@ -312,8 +312,8 @@
 
     /// Removes engines that the directory no longer knows, so that the memory is bounded by the
     /// directory.
-    pub fn forget_unknown(&mut self, directory: &EngineDirectory) {
-        self.rates.forget_unknown(directory);
+    pub fn remove_unknown(&mut self, directory: &EngineDirectory) {
+        self.rates.remove_unknown(directory);
         self.buckets.retain(|engine, _| directory.get(engine).is_some());
         self.owners.retain(|engine, _| directory.get(engine).is_some());
     }
--- a/crates/gateway-core/src/load_shedding.rs
+++ b/crates/gateway-core/src/load_shedding.rs
@@ -133,7 +133,7 @@
     }
 
     /// Removes services without requests for a minute.
-    pub fn forget_old(&mut self, now: Timestamp) {
+    pub fn remove_expired(&mut self, now: Timestamp) {
         self.services.retain(|_, demand| now.since(demand.allocated_at) < Millis(60_000));
     }
 }
--- a/crates/gateway-core/src/picker.rs
+++ b/crates/gateway-core/src/picker.rs
@@ -40,7 +40,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
     /// The engine responded, with success or with an error that is not counted against it.
-    Answered,
+    Responded,
     /// The engine responded with an error of its own.
     EngineError,
     /// The engine responded that it has no free capacity.
@@ -50,7 +50,7 @@
     /// No connection could be established.
     Unreachable,
     /// The connection was interrupted or the response was invalid.
-    Broken,
+    Interrupted,
     /// The caller disconnected or the deadline passed; this shows nothing about the engine.
     Abandoned,
 }
@@ -72,7 +72,7 @@
     /// The service.
     pub service: &'a ServiceName,
     /// Hash of the request's subject.
-    pub subject: Option<u64>,
+    pub prefix_hash: Option<u64>,
     /// The work of a generation; `None` for requests to other services.
     pub work: Option<GenerationWork>,
     /// Engines that already had an attempt at the request.
@@ -90,12 +90,12 @@
     /// The end as written in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
-            Self::Answered => "answered",
+            Self::Responded => "answered",
             Self::EngineError => "engine_error",
             Self::Full => "full",
             Self::BackoffRequested => "asked_for_rest",
             Self::Unreachable => "unreachable",
-            Self::Broken => "broken",
+            Self::Interrupted => "broken",
             Self::Abandoned => "abandoned",
         }
     }
@@ -194,8 +194,8 @@
         if let Some(work) = query.work {
             return self.pick_by_cost(now, &candidates, &work, query);
         }
-        let engine = match query.subject {
-            Some(subject) => self.pick_by_subject(&candidates, subject),
+        let engine = match query.prefix_hash {
+            Some(prefix_hash) => self.pick_by_subject(&candidates, prefix_hash),
             None => self.pick_by_load(&candidates, query.tie_breaker),
         };
         engine.map(|engine| EngineChoice {
@@ -265,8 +265,8 @@
     }
 
     /// Number of engines that are backing off.
-    pub fn resting(&self, now: Timestamp) -> usize {
-        self.backoff.resting(now)
+    pub fn backing_off(&self, now: Timestamp) -> usize {
+        self.backoff.backing_off(now)
     }
 
     /// Records that a request is sent to an engine.
@@ -320,9 +320,11 @@
     }
 
     /// Tokens left to prefill at an engine.
-    pub fn to_read(&self, now: Timestamp, engine: &BackEndName) -> Tokens {
+    pub fn pending_prefill(&self, now: Timestamp, engine: &BackEndName) -> Tokens {
         let load = self.loads.get(engine);
-        load.map_or(Tokens::ZERO, |load| Tokens(load.to_read(now, self.typical_speed) as u64))
+        load.map_or(Tokens::ZERO, |load| {
+            Tokens(load.pending_prefill(now, self.typical_speed) as u64)
+        })
     }
 
     /// Tokens to prefill at an engine that have not been reported to other routers.
@@ -331,7 +333,7 @@
     }
 
     /// Records the end of an attempt at an engine.
-    pub fn on_end(
+    pub fn on_request_end(
         &mut self,
         now: Timestamp,
         engine: &EngineRecord,
@@ -339,7 +341,7 @@
         end: AttemptEnd,
     ) {
         if let (Some(sent), Some(load)) = (sent, self.loads.get_mut(&engine.notice.engine)) {
-            load.on_end(&sent.work, &sent.estimate);
+            load.on_request_end(&sent.work, &sent.estimate);
         }
         let zone = engine.notice.zone.clone();
         let health = self.engines.entry(engine.notice.engine.clone()).or_default();
@@ -348,8 +350,8 @@
             health.rejected_at = Some(now);
         }
         match end {
-            AttemptEnd::Answered => health.record_outcome(now, false),
-            AttemptEnd::EngineError | AttemptEnd::Full | AttemptEnd::Broken => {
+            AttemptEnd::Responded => health.record_outcome(now, false),
+            AttemptEnd::EngineError | AttemptEnd::Full | AttemptEnd::Interrupted => {
                 health.record_outcome(now, true);
             }
             AttemptEnd::Unreachable => health.eject(now),
@@ -357,14 +359,14 @@
         }
         match end {
             AttemptEnd::Unreachable => self.on_zone_failure(now, zone),
-            AttemptEnd::Answered
+            AttemptEnd::Responded
             | AttemptEnd::EngineError
             | AttemptEnd::Full
             | AttemptEnd::BackoffRequested => {
                 health.answered_at = Some(now);
                 self.zones.remove(&zone);
             }
-            AttemptEnd::Broken | AttemptEnd::Abandoned => {}
+            AttemptEnd::Interrupted | AttemptEnd::Abandoned => {}
         }
     }
 
@@ -385,12 +387,12 @@
     }
 
     /// Removes engines that the directory no longer knows.
-    pub fn forget_unknown(&mut self, now: Timestamp, directory: &EngineDirectory) {
+    pub fn remove_unknown(&mut self, now: Timestamp, directory: &EngineDirectory) {
         self.engines
             .retain(|engine, health| health.in_flight > 0 || directory.get(engine).is_some());
         self.loads.retain(|engine, _| directory.get(engine).is_some());
-        self.loads.values_mut().for_each(|load| load.forget_old(now));
-        self.backoff.forget_unknown(directory);
+        self.loads.values_mut().for_each(|load| load.remove_expired(now));
+        self.backoff.remove_unknown(directory);
     }
 
     fn candidates<'a>(
@@ -434,15 +436,15 @@
         work: &GenerationWork,
         query: &PickQuery<'_>,
     ) -> Option<EngineChoice> {
-        let key = query.subject.unwrap_or(query.tie_breaker);
+        let key = query.prefix_hash.unwrap_or(query.tie_breaker);
         let home = candidates.iter().max_by_key(|candidate| rank(candidate, key))?;
         let idle = EngineLoad::default();
         let evaluate = |candidate: &Candidate<'_>| {
             let engine = &candidate.record.notice.engine;
             let load = self.loads.get(engine).unwrap_or(&idle);
             let is_home = *engine == home.record.notice.engine;
-            let cached =
-                is_home || query.subject.is_some_and(|subject| load.has_cached(now, subject));
+            let cached = is_home
+                || query.prefix_hash.is_some_and(|prefix_hash| load.has_cached(now, prefix_hash));
             let estimate = load.estimate(now, self.typical_speed, work, cached);
             (PlacementCost::of(work, &estimate, cached), estimate)
         };
@@ -451,7 +453,7 @@
             let by_cost = left.1.0.total().total_cmp(&right.1.0.total());
             by_cost.then_with(|| rank(right.0, key).cmp(&rank(left.0, key)))
         })?;
-        let placement = Placement { work: *work, subject: query.subject, estimate, cost };
+        let placement = Placement { work: *work, prefix_hash: query.prefix_hash, estimate, cost };
         let standing = candidate.standing;
         Some(EngineChoice {
             engine: candidate.record.clone(),
@@ -463,12 +465,12 @@
     fn pick_by_subject<'a>(
         &self,
         candidates: &[Candidate<'a>],
-        subject: u64,
+        prefix_hash: u64,
     ) -> Option<&'a EngineRecord> {
         let total: u64 = candidates.iter().map(|candidate| candidate.in_flight).sum();
         let bound =
             (total + 1) * LOAD_BOUND_PERMILLE / (1_000 * candidates.len() as u64) + LOAD_SLACK;
-        let rank = |candidate: &&Candidate<'a>| rank(candidate, subject);
+        let rank = |candidate: &&Candidate<'a>| rank(candidate, prefix_hash);
         let free = candidates.iter().filter(|candidate| candidate.in_flight <= bound);
         let chosen = free.max_by_key(rank).or_else(|| candidates.iter().max_by_key(rank))?;
         Some(chosen.record)
@@ -511,7 +513,7 @@
 }
 
 /// Rank of an engine for a subject (rendezvous hashing); the highest is preferred.
-fn rank(candidate: &Candidate<'_>, subject: u64) -> u64 {
+fn rank(candidate: &Candidate<'_>, prefix_hash: u64) -> u64 {
     let engine = candidate.record.notice.engine.as_str();
-    mix(subject ^ Digest::of(&[engine.as_bytes()]).to_u64())
+    mix(prefix_hash ^ Digest::of(&[engine.as_bytes()]).to_u64())
 }
--- a/crates/gateway-core/src/placement.rs
+++ b/crates/gateway-core/src/placement.rs
@@ -53,7 +53,7 @@
             ramp(estimate.first_event_ms / at_least_one_ms(work.objective), LATENESS_RAMP);
         let pause = ramp(estimate.prefill_ms / gap.max(1.0), PAUSE_RAMP);
         let pause_before = ramp(estimate.prefill_before_ms / gap.max(1.0), PAUSE_RAMP);
-        let stalls = estimate.long_readings * STALL_EXPOSURE_MS / gap.max(1.0);
+        let stalls = estimate.long_prefill_share * STALL_EXPOSURE_MS / gap.max(1.0);
         let shared = if cached { 0.0 } else { work.shared.0 as f64 };
         Self {
             lateness: weight * lateness,
--- a/crates/gateway-core/src/router_lists.rs
+++ b/crates/gateway-core/src/router_lists.rs
@@ -81,7 +81,7 @@
     }
 
     /// Records that a connection was lost.
-    pub fn on_down(&mut self, now: Timestamp, link: L) {
+    pub fn on_disconnect(&mut self, now: Timestamp, link: L) {
         if let Some(list) = self.lists.get_mut(&link) {
             list.disconnected_at = Some(now);
         }
--- a/crates/gateway-core/src/slot_shares.rs
+++ b/crates/gateway-core/src/slot_shares.rs
@@ -70,7 +70,7 @@
     }
 
     /// Records that a router does not respond.
-    pub fn on_no_answer(&mut self, now: Timestamp, router: SocketAddr) {
+    pub fn on_no_response(&mut self, now: Timestamp, router: SocketAddr) {
         self.absent.insert(router, now + ABSENCE_TIME);
         self.shares.clear();
     }
--- a/crates/gateway-core/src/stated_rates.rs
+++ b/crates/gateway-core/src/stated_rates.rs
@@ -158,7 +158,7 @@
 
     /// Removes engines that the directory no longer knows, so that the memory is bounded by the
     /// directory.
-    pub fn forget_unknown(&mut self, directory: &EngineDirectory) {
+    pub fn remove_unknown(&mut self, directory: &EngineDirectory) {
         self.known.retain(|engine, _| directory.get(engine).is_some());
     }
 }
--- a/crates/gateway-core/tests/account_owners.rs
+++ b/crates/gateway-core/tests/account_owners.rs
@@ -80,7 +80,7 @@
             .expect("a router with two lenders in its zone");
         let mut owners = view(borrower);
         let asked = owners.lenders_in_zone(NOW, &tenant);
-        owners.on_no_answer(NOW, asked[0]);
+        owners.on_no_response(NOW, asked[0]);
         assert_eq!(owners.lenders_in_zone(NOW, &tenant)[0], asked[1]);
         assert_eq!(owners.lenders_in_zone(NOW + Millis(1_000), &tenant), asked);
     }
--- a/crates/gateway-core/tests/backoff.rs
+++ b/crates/gateway-core/tests/backoff.rs
@@ -33,7 +33,7 @@
     let service = ServiceName::new("plain");
     let query = PickQuery {
         service: &service,
-        subject: None,
+        prefix_hash: None,
         work: None,
         tried: &[],
         has_room: &|_| true,
--- a/crates/gateway-core/tests/departures.rs
+++ b/crates/gateway-core/tests/departures.rs
@@ -229,6 +229,6 @@
     known.merge_delta(NOW, &departures.since(known.revision()));
     assert!(known.covers(&departure("e2", 3, EngineState::Gone)));
     assert_eq!(known.revision(), departures.revision());
-    known.forget_old(NOW + Millis(400_000));
+    known.remove_expired(NOW + Millis(400_000));
     assert!(!known.covers(&departure("e2", 3, EngineState::Gone)));
 }
--- a/crates/gateway-core/tests/engine_permits.rs
+++ b/crates/gateway-core/tests/engine_permits.rs
@@ -224,7 +224,7 @@
     );
     permits.learn(now, &engines[1].notice.engine, now, limited(1_000));
     let first = engines[1].notice.engine.clone();
-    let spent = PermitAvailability::Spent { soonest: Millis(1_001), engine: first };
+    let spent = PermitAvailability::Exhausted { soonest: Millis(1_001), engine: first };
     assert_eq!(availability(&mut permits, now), spent);
     assert_eq!(availability(&mut permits, Timestamp(2_001)), PermitAvailability::Available);
 }
@@ -258,7 +258,7 @@
     let first_lenders: BTreeSet<SocketAddr> =
         (0..64).map(|request_hash| lenders(&mut permits, request_hash)[0]).collect();
     assert_eq!(first_lenders.len(), 5, "each of the others comes first for some request");
-    permits.slots().on_no_answer(now, address(3));
+    permits.slots().on_no_response(now, address(3));
     assert!((0..64).all(|request_hash| !lenders(&mut permits, request_hash).contains(&address(3))));
 }
 
--- a/crates/gateway-core/tests/engines.rs
+++ b/crates/gateway-core/tests/engines.rs
@@ -29,13 +29,13 @@
     picker: &EnginePicker,
     now: Timestamp,
     directory: &EngineDirectory,
-    subject: Option<u64>,
+    prefix_hash: Option<u64>,
     tried: &[BackEndName],
 ) -> Option<String> {
     let service = ServiceName::new("models");
     let query = PickQuery {
         service: &service,
-        subject,
+        prefix_hash,
         work: None,
         tried,
         has_room: &|_| true,
@@ -202,10 +202,10 @@
     let failing = directory.get(&BackEndName::new("e1")).expect("the engine is known").clone();
     for _ in 0..6 {
         picker.on_start(now, &failing.notice.engine, None);
-        picker.on_end(now, &failing, None, AttemptEnd::Broken);
+        picker.on_request_end(now, &failing, None, AttemptEnd::Interrupted);
     }
-    for subject in 0..40 {
-        assert_eq!(pick(&picker, now, &directory, Some(subject), &[]).as_deref(), Some("e2"));
+    for prefix_hash in 0..40 {
+        assert_eq!(pick(&picker, now, &directory, Some(prefix_hash), &[]).as_deref(), Some("e2"));
     }
     let later = now + Millis(3_000);
     let back =
@@ -220,7 +220,7 @@
     let mut picker = EnginePicker::new("jetty".into());
     let only = directory.get(&BackEndName::new("e1")).expect("the engine is known").clone();
     picker.on_start(now, &only.notice.engine, None);
-    picker.on_end(now, &only, None, AttemptEnd::Unreachable);
+    picker.on_request_end(now, &only, None, AttemptEnd::Unreachable);
     assert_eq!(pick(&picker, now, &directory, None, &[]).as_deref(), Some("e1"));
 }
 
@@ -232,10 +232,10 @@
     for engine in ["e1x", "e2x", "e3x"] {
         let record = directory.get(&BackEndName::new(engine)).expect("the engine is known").clone();
         picker.on_start(now, &record.notice.engine, None);
-        picker.on_end(now, &record, None, AttemptEnd::Unreachable);
+        picker.on_request_end(now, &record, None, AttemptEnd::Unreachable);
     }
-    for subject in 0..40 {
-        assert_eq!(pick(&picker, now, &directory, Some(subject), &[]).as_deref(), Some("e5"));
+    for prefix_hash in 0..40 {
+        assert_eq!(pick(&picker, now, &directory, Some(prefix_hash), &[]).as_deref(), Some("e5"));
     }
 }
 
@@ -249,7 +249,7 @@
     assert!(directory.evict_silent(now).is_empty());
     let late = start + Millis(185_500);
     assert_eq!(directory.evict_silent(late), vec![BackEndName::new("e1")]);
-    directory.forget_old(late);
+    directory.remove_expired(late);
     assert!(!directory.accepts_requests(&"e1".into()), "the silent engine is evicted");
     assert!(
         directory.get(&BackEndName::new("e2")).is_some(),
@@ -286,7 +286,7 @@
     assert_eq!(pick(&picker, now, &directory, None, &[]).as_deref(), Some("e2"));
     let silent = directory.get(&BackEndName::new("e1")).expect("the engine is known").clone();
     picker.on_start(now, &silent.notice.engine, None);
-    picker.on_end(now, &silent, None, AttemptEnd::Answered);
+    picker.on_request_end(now, &silent, None, AttemptEnd::Responded);
     let used =
         (0..40).any(|s| pick(&picker, now, &directory, Some(s), &[]).as_deref() == Some("e1"));
     assert!(used, "an engine that responds is good even if it is not announced");
--- a/crates/gateway-core/tests/placement.rs
+++ b/crates/gateway-core/tests/placement.rs
@@ -37,18 +37,18 @@
     picker: &EnginePicker,
     now: Timestamp,
     directory: &EngineDirectory,
-    subject: u64,
+    prefix_hash: u64,
     work: GenerationWork,
 ) -> EngineChoice {
     let service = ServiceName::new("models");
     let query = PickQuery {
         service: &service,
-        subject: Some(subject),
+        prefix_hash: Some(prefix_hash),
         work: Some(work),
         tried: &[],
         has_room: &|_| true,
         is_retry: false,
-        tie_breaker: subject,
+        tie_breaker: prefix_hash,
     };
     picker.pick(now, directory, &query).expect("there are engines")
 }
@@ -57,10 +57,10 @@
     picker: &mut EnginePicker,
     now: Timestamp,
     directory: &EngineDirectory,
-    subject: u64,
+    prefix_hash: u64,
     work: GenerationWork,
 ) -> EngineChoice {
-    let choice = pick(picker, now, directory, subject, work);
+    let choice = pick(picker, now, directory, prefix_hash, work);
     picker.on_start(now, &choice.engine.notice.engine, choice.placement.as_ref());
     choice
 }
@@ -86,7 +86,7 @@
     let mut picker = EnginePicker::new("hall".into());
     let home = pick(&picker, START, &directory, 7, work(100, 300));
     let engine = home.engine.notice.engine.clone();
-    let long = EngineLoadUpdate { to_read: 60_000, ..EngineLoadUpdate::default() };
+    let long = EngineLoadUpdate { pending_prefill: 60_000, ..EngineLoadUpdate::default() };
     picker.on_peer_update(START, 1, engine.clone(), &long);
     let moved = pick(&picker, START, &directory, 7, work(100, 300));
     assert_ne!(moved.engine.notice.engine, engine);
@@ -103,8 +103,8 @@
         let busy = EngineLoadUpdate { running: 12.0, ..EngineLoadUpdate::default() };
         picker.on_peer_update(START, 1, BackEndName::new(engine), &busy);
     }
-    for subject in 0..20 {
-        let choice = pick(&picker, START, &directory, subject, work(0, 45_000));
+    for prefix_hash in 0..20 {
+        let choice = pick(&picker, START, &directory, prefix_hash, work(0, 45_000));
         assert_eq!(name(&choice), "e2");
     }
 }
@@ -118,7 +118,7 @@
     let next = pick(&picker, later, &directory, 7, work(100, 300));
     assert_ne!(name(&next), name(&overdue));
     let sent = overdue.placement.as_ref();
-    picker.on_end(later, &overdue.engine, sent, AttemptEnd::Abandoned);
+    picker.on_request_end(later, &overdue.engine, sent, AttemptEnd::Abandoned);
     let again = pick(&picker, later, &directory, 7, work(100, 300));
     assert_eq!(name(&again), name(&overdue), "no first event is outstanding there");
 }
@@ -130,12 +130,16 @@
     let mut now = START;
     let mut run_prefill = |load: &mut EngineLoad, elapsed: u64| {
         let estimate = load.estimate(now, None, &generation, false);
-        let sent =
-            Placement { work: generation, subject: None, estimate, cost: PlacementCost::default() };
+        let sent = Placement {
+            work: generation,
+            prefix_hash: None,
+            estimate,
+            cost: PlacementCost::default(),
+        };
         load.on_sent(now, None, &sent);
         now = now + Millis(elapsed);
         load.on_first_event(now, None, &estimate, Millis(elapsed));
-        load.on_end(&generation, &estimate);
+        load.on_request_end(&generation, &estimate);
         now = now + Millis(5_000);
     };
     for _ in 0..60 {
@@ -156,14 +160,14 @@
     let generation = work(0, 30_000);
     let estimate = load.estimate(START, None, &generation, false);
     let sent =
-        Placement { work: generation, subject: None, estimate, cost: PlacementCost::default() };
+        Placement { work: generation, prefix_hash: None, estimate, cost: PlacementCost::default() };
     load.on_sent(START, None, &sent);
     assert!(
-        load.to_read(START + Millis(5_000), None) >= 30_000.0,
+        load.pending_prefill(START + Millis(5_000), None) >= 30_000.0,
         "its first event is outstanding"
     );
     load.on_first_event(START + Millis(5_000), None, &estimate, Millis(5_000));
-    assert_eq!(load.to_read(START + Millis(5_000), None), 0.0);
+    assert_eq!(load.pending_prefill(START + Millis(5_000), None), 0.0);
 }
 
 #[test]
@@ -179,8 +183,8 @@
     assert!(updates[0].1.running > 0.0);
     assert_eq!(picker.unreported(&engine), Tokens::ZERO);
     assert!(picker.take_updates(true).is_empty(), "no unreported tokens to prefill");
-    assert_eq!(picker.take_updates(false)[0].1.to_read, 0, "already reported");
-    picker.on_end(START, &sent.engine, sent.placement.as_ref(), AttemptEnd::Answered);
+    assert_eq!(picker.take_updates(false)[0].1.pending_prefill, 0, "already reported");
+    picker.on_request_end(START, &sent.engine, sent.placement.as_ref(), AttemptEnd::Responded);
     assert_eq!(picker.take_updates(false)[0].1.running, 0.0);
     assert!(picker.take_updates(false).is_empty(), "everything has been reported");
 }
@@ -207,9 +211,9 @@
     }
     let known = (0..10_000).filter(|number| {
         let engine = BackEndName::new(format!("x{number}"));
-        picker.to_read(START, &engine) > Tokens::ZERO
+        picker.pending_prefill(START, &engine) > Tokens::ZERO
     });
     assert!(known.count() <= 4_096);
-    picker.forget_unknown(START, &EngineDirectory::default());
-    assert_eq!(picker.to_read(START, &"x1".into()), Tokens::ZERO);
+    picker.remove_unknown(START, &EngineDirectory::default());
+    assert_eq!(picker.pending_prefill(START, &"x1".into()), Tokens::ZERO);
 }
--- a/crates/gateway-core/tests/router_lists.rs
+++ b/crates/gateway-core/tests/router_lists.rs
@@ -46,13 +46,13 @@
 fn a_new_control_process_does_not_remove_the_other_routers() {
     let mut lists = RouterLists::default();
     receive(&mut lists, 1, &[1, 2, 3]);
-    lists.on_down(Timestamp(1_000), 1);
+    lists.on_disconnect(Timestamp(1_000), 1);
     assert_eq!(
         others(&mut lists, 60_000),
         [2, 3],
         "the last list stays valid while no process is connected"
     );
-    lists.on_down(Timestamp(60_000), 1);
+    lists.on_disconnect(Timestamp(60_000), 1);
     receive(&mut lists, 2, &[1]);
     assert_eq!(others(&mut lists, 61_999), [2, 3]);
     receive(&mut lists, 2, &[1, 2]);
--- a/crates/gateway-core/tests/slot_shares.rs
+++ b/crates/gateway-core/tests/slot_shares.rs
@@ -58,7 +58,7 @@
         let mut views = views(routers);
         let absent = views.remove(0).free(now, &engine);
         let before: Vec<u32> = views.iter_mut().map(|view| view.free(now, &engine)).collect();
-        views.iter_mut().for_each(|view| view.on_no_answer(now, address(0)));
+        views.iter_mut().for_each(|view| view.on_no_response(now, address(0)));
         let after: Vec<u32> = views.iter_mut().map(|view| view.free(now, &engine)).collect();
         prop_assert!(before.iter().zip(&after).all(|(before, after)| before <= after));
         prop_assert_eq!(after.iter().sum::<u32>(), 24);
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -57,7 +57,7 @@
     /// No head arrived in time; the request may have run.
     HeadTimeout,
     /// The head of the response was received.
-    Answered(Box<EngineResponse>),
+    Responded(Box<EngineResponse>),
 }
 
 /// An engine's response whose body has not been read.
@@ -151,7 +151,7 @@
             let now = self.router.now();
             self.router.metrics.on_attempt_end(end);
             let sent = self.placement.as_ref();
-            self.router.picker.borrow_mut().on_end(now, &self.engine, sent, end);
+            self.router.picker.borrow_mut().on_request_end(now, &self.engine, sent, end);
         }
     }
 }
@@ -204,7 +204,7 @@
     match timeout_at(head_deadline, response_future).await {
         Err(_) => {
             log_end(payload, &attempt, "head", "no response head before the timeout");
-            attempt.finish(AttemptEnd::Broken, None);
+            attempt.finish(AttemptEnd::Interrupted, None);
             AttemptResult::HeadTimeout
         }
         Ok(Err(mut error)) => {
@@ -214,7 +214,7 @@
                 attempt.finish(AttemptEnd::Abandoned, None);
                 return AttemptResult::Unreachable;
             }
-            attempt.finish(AttemptEnd::Broken, None);
+            attempt.finish(AttemptEnd::Interrupted, None);
             AttemptResult::Interrupted
         }
         Ok(Ok(response)) => classify(router, payload, attempt, response),
@@ -244,7 +244,7 @@
         }
         ResponseClass::OtherRequest | ResponseClass::Unsigned => {
             log_end(payload, &attempt, "answer", "response does not belong to this request");
-            attempt.finish(AttemptEnd::Broken, None);
+            attempt.finish(AttemptEnd::Interrupted, None);
             AttemptResult::InvalidResponse
         }
         ResponseClass::Verified => {
@@ -252,7 +252,7 @@
                 router.header_codec.read_directives(&payload.caller, head.status, &head.headers);
             router.picker.borrow_mut().on_accepted(attempt.name(), attempt.sent_at);
             router.on_directives(&payload.caller.id, attempt.name(), attempt.sent_at, &directives);
-            AttemptResult::Answered(Box::new(EngineResponse { head, body, attempt }))
+            AttemptResult::Responded(Box::new(EngineResponse { head, body, attempt }))
         }
     }
 }
@@ -262,7 +262,7 @@
     match status {
         _ if directives.backoff.is_some() => AttemptEnd::BackoffRequested,
         StatusCode::SERVICE_UNAVAILABLE => AttemptEnd::Full,
-        _ => AttemptEnd::Answered,
+        _ => AttemptEnd::Responded,
     }
 }
 
--- a/crates/gateway/src/decision_log.rs
+++ b/crates/gateway/src/decision_log.rs
@@ -118,7 +118,7 @@
         service = context.service.as_str(),
         engine = engine.as_str(),
         rest_left_ms = soonest.0,
-        resting = context.router.picker.borrow().resting(context.router.now());
+        resting = context.router.picker.borrow().backing_off(context.router.now());
         "every engine rests"
     );
 }
@@ -256,10 +256,10 @@
         since_arrival_ms = since_arrival_ms,
         took_ms = took.as_millis() as u64,
         expected_ms = estimate.first_event_ms as u64,
-        to_read = estimate.to_read as u64,
-        ahead = estimate.ahead as u64,
+        to_read = estimate.pending_prefill as u64,
+        ahead = estimate.queued_prefill as u64,
         running = estimate.running,
-        long_readings = estimate.long_readings,
+        long_readings = estimate.long_prefill_share,
         harm_late = cost.lateness,
         harm_held_up = cost.stall,
         harm_to_others = cost.interference,
--- a/crates/gateway/src/fleet_link.rs
+++ b/crates/gateway/src/fleet_link.rs
@@ -178,7 +178,7 @@
                         router.is_connected_to_leader(),
                         engines,
                     );
-                    router.metrics.record_backing_off(router.picker.borrow().resting(router.now()));
+                    router.metrics.record_backing_off(router.picker.borrow().backing_off(router.now()));
                     router.metrics.record_rate_limited(router.permits.rate_limited_engines());
                     router.metrics.record_quarantined(router.crash_tracker.borrow().quarantined());
                 }
@@ -290,7 +290,7 @@
         self.echoes.borrow_mut().insert(link, ClockEcho { received_at, sent_at: status.clock });
         let routers = u64::from(status.routers);
         self.router.retry_budget.borrow_mut().set_routers(routers);
-        if status.leads {
+        if status.is_leader {
             let leader_is_new = self.leader.replace(Some(link)) != Some(link);
             self.leader_contact.set(Some(received_at));
             self.router.on_leader_contact(status.document_version, status.departures);
@@ -401,10 +401,10 @@
 
     fn evict_old(&self) {
         let mut directory = self.router.directory.borrow_mut();
-        directory.forget_old(self.router.now());
-        self.router.picker.borrow_mut().forget_unknown(self.router.now(), &directory);
+        directory.remove_expired(self.router.now());
+        self.router.picker.borrow_mut().remove_unknown(self.router.now(), &directory);
         self.router.pool.evict_idle(&directory);
-        self.router.permits.forget_old(self.router.now(), &directory);
-        self.router.shedding.borrow_mut().forget_old(self.router.now());
+        self.router.permits.remove_expired(self.router.now(), &directory);
+        self.router.shedding.borrow_mut().remove_expired(self.router.now());
     }
 }
--- a/crates/gateway/src/fleet_link/engine_updates.rs
+++ b/crates/gateway/src/fleet_link/engine_updates.rs
@@ -137,7 +137,7 @@
         }
         drop(silent);
         self.apply_silent_engines();
-        self.router_lists.borrow_mut().on_down(self.router.now(), link);
+        self.router_lists.borrow_mut().on_disconnect(self.router.now(), link);
     }
 
     /// An engine counts as silent if every control process reports it as silent.
--- a/crates/gateway/src/fleet_link/loan_messages.rs
+++ b/crates/gateway/src/fleet_link/loan_messages.rs
@@ -4,7 +4,7 @@
 use super::FleetLink;
 use crate::loans::{LenderLinks, Loan, LoanCommand, LoanRequest};
 use crate::reservation;
-use stackpost_coordinator::{BorrowAnswer, FleetMessage};
+use stackpost_coordinator::{BorrowResult, FleetMessage};
 use stackpost_mesh::LinkId;
 use stackpost_types::{Millis, TenantName, Tokens};
 use std::net::SocketAddr;
@@ -76,7 +76,7 @@
         let now = self.router.now();
         for lender in self.loans.remove_abandoned(now) {
             log::info!(lender = lender.to_string().as_str(); "no answer from a lender");
-            self.router.account_owners.borrow_mut().on_no_answer(now, lender);
+            self.router.account_owners.borrow_mut().on_no_response(now, lender);
         }
         for query in self.loans.outgoing_queries(now, self) {
             let (token, tenant, amount) = (query.token, query.tenant, query.amount);
@@ -89,7 +89,7 @@
         self.mesh.send(loan.lender, &FleetMessage::SettleLoan { token: loan.token, used });
     }
 
-    pub(super) fn on_borrow_reply(&self, lender: LinkId, token: u64, answer: BorrowAnswer) {
+    pub(super) fn on_borrow_reply(&self, lender: LinkId, token: u64, answer: BorrowResult) {
         if let Some(unwanted) = self.loans.on_reply(self.router.now(), lender, token, answer) {
             self.settle(unwanted, Tokens::ZERO);
         }
@@ -110,7 +110,7 @@
         let link = self.clone();
         tokio::task::spawn_local(async move {
             let answer = match link.stopped.get() {
-                true => BorrowAnswer::AskAnother,
+                true => BorrowResult::AskAnother,
                 false => reservation::lend(&link.router, &tenant, amount, wait).await,
             };
             link.on_lend_result(borrower, token, tenant, amount, answer);
@@ -123,9 +123,9 @@
         token: u64,
         tenant: TenantName,
         amount: Tokens,
-        answer: BorrowAnswer,
+        answer: BorrowResult,
     ) {
-        if answer == BorrowAnswer::Lent {
+        if answer == BorrowResult::Lent {
             let is_connected = self.peer_links.borrow().contains_key(&borrower);
             if self.stopped.get() || !is_connected {
                 self.router.wallet.borrow_mut().settle(&tenant, amount, Tokens::ZERO);
--- a/crates/gateway/src/header_codec.rs
+++ b/crates/gateway/src/header_codec.rs
@@ -30,7 +30,7 @@
     /// Maximum number of tokens to be generated.
     pub max_generated: Tokens,
     /// Hash of the last part of the prompt that other requests share.
-    pub subject: Option<u64>,
+    pub prefix_hash: Option<u64>,
 }
 
 impl Generation {
--- a/crates/gateway/src/loans.rs
+++ b/crates/gateway/src/loans.rs
@@ -6,7 +6,7 @@
 //! lender can have spent holds unchanged, and the ledger need not record the loan. The actual usage
 //! is sent afterwards; if that message is lost, the lender keeps the full amount as used.
 
-use stackpost_coordinator::BorrowAnswer;
+use stackpost_coordinator::BorrowResult;
 use stackpost_mesh::LinkId;
 use stackpost_types::{Millis, TenantName, Timestamp, Tokens};
 use std::cell::RefCell;
@@ -221,20 +221,20 @@
         now: Timestamp,
         lender: LinkId,
         token: u64,
-        answer: BorrowAnswer,
+        answer: BorrowResult,
     ) -> Option<Loan> {
         let loan = Loan { lender, token };
         match answer {
-            BorrowAnswer::Lent => match self.end(token, LoanOutcome::Lent(loan)) {
+            BorrowResult::Lent => match self.end(token, LoanOutcome::Lent(loan)) {
                 Ok(()) => None,
                 Err(NotWaiting) => Some(loan),
             },
-            BorrowAnswer::NotCovered => {
+            BorrowResult::NotCovered => {
                 // Nothing was reserved, so nothing is to be undone if the request no longer waits.
                 let _ = self.end(token, LoanOutcome::NotCovered);
                 None
             }
-            BorrowAnswer::AskAnother => {
+            BorrowResult::AskAnother => {
                 if let Some(ask) = self.pending.borrow_mut().get_mut(&token) {
                     ask.outstanding = None;
                     let refusal = RefusedLoan { amount: ask.amount, at: now };
--- a/crates/gateway/src/permits.rs
+++ b/crates/gateway/src/permits.rs
@@ -229,8 +229,8 @@
     /// Evicts engines that the directory no longer contains, releases slots whose return was lost,
     /// and removes queries whose request has been cancelled: the router that was asked may never
     /// reply.
-    pub fn forget_old(&self, now: Timestamp, directory: &EngineDirectory) {
-        self.permits.borrow_mut().forget_unknown(directory);
+    pub fn remove_expired(&self, now: Timestamp, directory: &EngineDirectory) {
+        self.permits.borrow_mut().remove_unknown(directory);
         self.awaiting_reply.borrow_mut().retain(|_, reply| !reply.is_closed());
         let is_expired = |lent: &LentSlot| lent.until <= now;
         let expired: Vec<LentSlot> = self
@@ -286,7 +286,7 @@
         pool.awaiting_reply.borrow_mut().remove(&token);
         let Ok(received) = received else {
             if until < wait_until {
-                pool.permits.borrow_mut().slots().on_no_answer(self.now(), lender);
+                pool.permits.borrow_mut().slots().on_no_response(self.now(), lender);
             }
             return None;
         };
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -92,12 +92,12 @@
         Ok(NextEvent::Interrupted) => {
             let crash_check =
                 context.on_interrupted(source.attempt.name(), InterruptionPoint::FirstEvent);
-            source.attempt.finish(AttemptEnd::Broken, None);
+            source.attempt.finish(AttemptEnd::Interrupted, None);
             crash_check.wait().await;
             Err(NoFirstEvent)
         }
         Ok(NextEvent::Paused) | Err(_) => {
-            source.attempt.finish(AttemptEnd::Broken, None);
+            source.attempt.finish(AttemptEnd::Interrupted, None);
             Err(NoFirstEvent)
         }
     }
@@ -154,14 +154,14 @@
                     self.context.reservation.iter().for_each(Reservation::on_complete);
                     self.context.on_request_succeeded();
                     let StreamSource { headers, attempt, .. } = source;
-                    return attempt.finish(AttemptEnd::Answered, Some(&headers));
+                    return attempt.finish(AttemptEnd::Responded, Some(&headers));
                 }
                 Ok(end @ (NextEvent::Interrupted | NextEvent::Paused)) => {
                     let crash_check = matches!(end, NextEvent::Interrupted).then(|| {
                         self.context
                             .on_interrupted(source.attempt.name(), InterruptionPoint::Stream)
                     });
-                    source.attempt.finish(AttemptEnd::Broken, None);
+                    source.attempt.finish(AttemptEnd::Interrupted, None);
                     if let Some(crash_check) = crash_check {
                         crash_check.wait().await;
                     }
@@ -308,7 +308,7 @@
                 if !failed {
                     context.on_request_succeeded();
                 }
-                return attempt.finish(AttemptEnd::Answered, None);
+                return attempt.finish(AttemptEnd::Responded, None);
             }
             Ok(RelayOutcome::CallerGone) => return,
             Ok(RelayOutcome::Interrupted) => {
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -317,7 +317,7 @@
         )
         .await;
         match result {
-            AttemptResult::Answered(response) => {
+            AttemptResult::Responded(response) => {
                 progress.tried.push(name);
                 return Some(*response);
             }
@@ -432,19 +432,19 @@
             }
             Ok(Err(())) => {
                 let crash_check = self.on_interrupted(attempt.name(), InterruptionPoint::Body);
-                attempt.finish(AttemptEnd::Broken, None);
+                attempt.finish(AttemptEnd::Interrupted, None);
                 crash_check.wait().await;
                 progress.may_have_run = true;
                 return BufferOutcome::Failed;
             }
             Err(_) => {
-                attempt.finish(AttemptEnd::Broken, None);
+                attempt.finish(AttemptEnd::Interrupted, None);
                 progress.may_have_run = true;
                 return BufferOutcome::Failed;
             }
         }
         let failed = head.status.is_server_error();
-        let end = if failed { AttemptEnd::EngineError } else { AttemptEnd::Answered };
+        let end = if failed { AttemptEnd::EngineError } else { AttemptEnd::Responded };
         attempt.finish(end, Some(&head.headers));
         let buffered = BufferedResponse { head, body: buffered.freeze() };
         if failed {
--- a/crates/gateway/src/reservation.rs
+++ b/crates/gateway/src/reservation.rs
@@ -5,7 +5,7 @@
 use crate::loans::{Loan, LoanOutcome};
 use crate::refusal::Refusal;
 use crate::router::Router;
-use stackpost_coordinator::BorrowAnswer;
+use stackpost_coordinator::BorrowResult;
 use stackpost_types::{Millis, TenantName, Tokens};
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -227,25 +227,25 @@
     tenant: &TenantName,
     amount: Tokens,
     wait: Millis,
-) -> BorrowAnswer {
+) -> BorrowResult {
     if !router.may_reserve(tenant, amount) {
-        return BorrowAnswer::NotCovered;
+        return BorrowResult::NotCovered;
     }
     let first = router.wallet.borrow_mut().reserve(router.now(), tenant, amount);
     if first.is_ok() {
-        return BorrowAnswer::Lent;
+        return BorrowResult::Lent;
     }
     let wait = Duration::from_millis(wait.0 * REPLY_AFTER_PERCENT / 100);
     let wait_until = Instant::now() + wait;
     while router.is_connected_to_leader() && Instant::now() < wait_until {
         wait_for_leader(router, wait_until).await;
         if try_reserve(router, tenant, amount) {
-            return BorrowAnswer::Lent;
+            return BorrowResult::Lent;
         }
     }
     if router.is_connected_to_leader() {
-        BorrowAnswer::NotCovered
+        BorrowResult::NotCovered
     } else {
-        BorrowAnswer::AskAnother
+        BorrowResult::AskAnother
     }
 }
--- a/crates/gateway/src/router.rs
+++ b/crates/gateway/src/router.rs
@@ -265,8 +265,8 @@
     }
 
     /// Prompt tokens that an engine has still to prefill, as far as this router knows.
-    pub fn to_read(&self, engine: &BackEndName) -> Tokens {
-        self.picker.borrow().to_read(self.now(), engine)
+    pub fn pending_prefill(&self, engine: &BackEndName) -> Tokens {
+        self.picker.borrow().pending_prefill(self.now(), engine)
     }
 
     /// Begins a planned shutdown.
--- a/crates/gateway/src/select_engine.rs
+++ b/crates/gateway/src/select_engine.rs
@@ -90,7 +90,7 @@
     fn has_rate_limited_candidate(&self, progress: &Progress) -> bool {
         let availability =
             self.router.permit_availability(&self.service, &progress.excluded_engines());
-        matches!(availability, PermitAvailability::Available | PermitAvailability::Spent { .. })
+        matches!(availability, PermitAvailability::Available | PermitAvailability::Exhausted { .. })
     }
 
     /// Waits for a permit and asks other routers for one meanwhile. All attempts together wait no
@@ -151,7 +151,7 @@
         match self.router.permit_availability(&self.service, tried) {
             PermitAvailability::Unlimited => false,
             PermitAvailability::Available => true,
-            PermitAvailability::Spent { soonest, .. } => {
+            PermitAvailability::Exhausted { soonest, .. } => {
                 Instant::now() + Duration::from_millis(soonest.0) <= until
             }
         }
@@ -193,10 +193,10 @@
         let now = self.router.now();
         let tried = progress.excluded_engines();
         let generation = self.payload.caller.generation;
-        let subject = generation.and_then(|generation| generation.subject);
+        let prefix_hash = generation.and_then(|generation| generation.prefix_hash);
         let query = PickQuery {
             service: &self.service,
-            subject: subject.filter(|_| self.route.sticky),
+            prefix_hash: prefix_hash.filter(|_| self.route.sticky),
             work: generation.map(|generation| self.work(generation)),
             tried: &tried,
             has_room,
--- a/crates/gateway/src/unservable.rs
+++ b/crates/gateway/src/unservable.rs
@@ -46,7 +46,7 @@
     pub fn refuse_if_rate_limited(&self) -> Result<(), Refusal> {
         let wait_left = Millis(self.permit_wait_left.get().as_millis() as u64);
         match self.router.permit_availability(&self.service, &[]) {
-            PermitAvailability::Spent { soonest, engine } if soonest > wait_left => {
+            PermitAvailability::Exhausted { soonest, engine } if soonest > wait_left => {
                 self.router.shedding.borrow_mut().on_no_permit(self.router.now(), &self.service);
                 decision_log::rate_limits_exhausted(self, &engine, soonest);
                 Err(Refusal::RateLimitsExhausted { retry_after: self.retry_delay(soonest) })
--- a/crates/gateway/tests/fleet/load_exchange.rs
+++ b/crates/gateway/tests/fleet/load_exchange.rs
@@ -17,7 +17,7 @@
         gap_objective: Millis(500),
     };
     let estimate = EngineLoad::default().estimate(Timestamp(0), None, &work, false);
-    Placement { work, subject: None, estimate, cost: PlacementCost::default() }
+    Placement { work, prefix_hash: None, estimate, cost: PlacementCost::default() }
 }
 
 #[test]
@@ -30,8 +30,8 @@
         exchange.set_peers(&[to]);
         let engine = BackEndName::new("e1");
         sender.on_placed(&engine, Some(&placement()));
-        wait_until(|| receiver.to_read(&engine) > Tokens::ZERO).await;
-        assert!(receiver.to_read(&engine) > Tokens(LONG_PROMPT.0 / 2));
+        wait_until(|| receiver.pending_prefill(&engine) > Tokens::ZERO).await;
+        assert!(receiver.pending_prefill(&engine) > Tokens(LONG_PROMPT.0 / 2));
     });
 }
 
@@ -50,7 +50,7 @@
         let engine = BackEndName::new("e1");
         sender.on_placed(&engine, Some(&placement()));
         // Datagrams between two sockets on one machine arrive in order.
-        wait_until(|| receiver.to_read(&engine) > Tokens::ZERO).await;
-        assert_eq!(receiver.to_read(&BackEndName::new("e2")), Tokens::ZERO);
+        wait_until(|| receiver.pending_prefill(&engine) > Tokens::ZERO).await;
+        assert_eq!(receiver.pending_prefill(&BackEndName::new("e2")), Tokens::ZERO);
     });
 }
--- a/crates/gateway/tests/fleet/support/test_codecs.rs
+++ b/crates/gateway/tests/fleet/support/test_codecs.rs
@@ -18,7 +18,7 @@
             prompt: Tokens(super::PROMPT),
             shared: Tokens::ZERO,
             max_generated: Tokens(super::MAX_GENERATED),
-            subject: None,
+            prefix_hash: None,
         });
         Ok(CallerRequest {
             id: text("id").unwrap_or_default().into(),
--- a/crates/gateway/tests/loans.rs
+++ b/crates/gateway/tests/loans.rs
@@ -1,6 +1,6 @@
 //! Loans between routers: the choice of the lender, and the handling of lost connections.
 
-use stackpost_coordinator::BorrowAnswer;
+use stackpost_coordinator::BorrowResult;
 use stackpost_gateway::loans::{LenderLinks, Loan, LoanOutcome, LoanRequest, Loans};
 use stackpost_mesh::LinkId;
 use stackpost_types::{Millis, TenantName, Timestamp, Tokens};
@@ -67,10 +67,10 @@
     assert_eq!((first.len(), first[0].to, first[0].amount), (1, link(2), Tokens(70)));
     assert_eq!(first[0].wait, WAIT);
     assert!(loans.outgoing_queries(NOW, &up(&[1, 2])).is_empty(), "only one query at a time");
-    assert_eq!(loans.on_reply(NOW, link(2), first[0].token, BorrowAnswer::AskAnother), None);
+    assert_eq!(loans.on_reply(NOW, link(2), first[0].token, BorrowResult::AskAnother), None);
     let second = loans.outgoing_queries(NOW + Millis(20), &up(&[1, 2]));
     assert_eq!((second[0].to, second[0].wait), (link(1), Millis(150)));
-    assert_eq!(loans.on_reply(NOW, link(1), second[0].token, BorrowAnswer::Lent), None);
+    assert_eq!(loans.on_reply(NOW, link(1), second[0].token, BorrowResult::Lent), None);
     let loan = Loan { lender: link(1), token: second[0].token };
     assert_eq!(answer.try_recv(), Ok(LoanOutcome::Lent(loan)));
 }
@@ -80,7 +80,7 @@
     let loans = Loans::default();
     let mut answer = ask(&loans, &[1, 2]);
     let query = loans.outgoing_queries(NOW, &up(&[1, 2])).remove(0);
-    loans.on_reply(NOW, link(1), query.token, BorrowAnswer::NotCovered);
+    loans.on_reply(NOW, link(1), query.token, BorrowResult::NotCovered);
     assert!(loans.outgoing_queries(NOW, &up(&[1, 2])).is_empty());
     assert_eq!(answer.try_recv(), Ok(LoanOutcome::NotCovered));
 }
@@ -90,7 +90,7 @@
     let loans = Loans::default();
     let mut answer = ask(&loans, &[1, 2]);
     let query = loans.outgoing_queries(NOW, &up(&[1])).remove(0);
-    loans.on_reply(NOW, link(1), query.token, BorrowAnswer::AskAnother);
+    loans.on_reply(NOW, link(1), query.token, BorrowResult::AskAnother);
     let connecting = Links { up: vec![1], connecting: vec![2] };
     assert!(loans.outgoing_queries(NOW, &connecting).is_empty());
     assert!(answer.try_recv().is_err(), "a connection is still being established");
@@ -104,7 +104,7 @@
     let answer = ask(&loans, &[1]);
     let query = loans.outgoing_queries(NOW, &up(&[1])).remove(0);
     drop(answer);
-    let unwanted = loans.on_reply(NOW, link(1), query.token, BorrowAnswer::Lent);
+    let unwanted = loans.on_reply(NOW, link(1), query.token, BorrowResult::Lent);
     assert_eq!(unwanted, Some(Loan { lender: link(1), token: query.token }));
 }
 
@@ -118,7 +118,7 @@
         [],
         "the request gave up too early to blame the lender"
     );
-    let unwanted = loans.on_reply(NOW, link(1), query.token, BorrowAnswer::Lent);
+    let unwanted = loans.on_reply(NOW, link(1), query.token, BorrowResult::Lent);
     assert_eq!(unwanted, Some(Loan { lender: link(1), token: query.token }));
 }
 
@@ -158,7 +158,7 @@
     let loans = Loans::default();
     let mut first = ask(&loans, &[1]);
     let query = loans.outgoing_queries(NOW, &up(&[1])).remove(0);
-    loans.on_reply(NOW, link(1), query.token, BorrowAnswer::AskAnother);
+    loans.on_reply(NOW, link(1), query.token, BorrowResult::AskAnother);
     loans.outgoing_queries(NOW, &up(&[1]));
     assert_eq!(first.try_recv(), Ok(LoanOutcome::NoLender));
 
--- a/crates/ledger/src/mirror.rs
+++ b/crates/ledger/src/mirror.rs
@@ -70,7 +70,7 @@
     /// The copy.
     pub state: AccountState,
     /// When the last message from the owner was received.
-    pub heard_at: Timestamp,
+    pub last_message_at: Timestamp,
 }
 
 impl MirroredAccount {
@@ -114,10 +114,10 @@
             && held.owner == *owner
             && held.sequence >= sequence
         {
-            held.heard_at = now;
+            held.last_message_at = now;
             return held;
         }
-        Self { owner: owner.clone(), epoch, sequence, state, heard_at: now }
+        Self { owner: owner.clone(), epoch, sequence, state, last_message_at: now }
     }
 
     fn apply_batch(
@@ -127,7 +127,7 @@
         first: u64,
         records: Vec<Record>,
     ) -> Self {
-        self.heard_at = now;
+        self.last_message_at = now;
         self.epoch = self.epoch.max(epoch);
         for (number, record) in (first..).zip(records) {
             // Duplicate changes are skipped; after a gap the rest of the batch is ignored until the
--- a/crates/ledger/src/policy.rs
+++ b/crates/ledger/src/policy.rs
@@ -15,7 +15,7 @@
 
 /// The transfer to request when waiting requests need `need` and about `per_second` tokens are
 /// spent per second.
-pub fn ask(policy: &PolicyRow, need: Tokens, per_second: Tokens) -> TransferRequest {
+pub fn transfer_request(policy: &PolicyRow, need: Tokens, per_second: Tokens) -> TransferRequest {
     let chunk = Tokens(per_second.0.saturating_mul(policy.chunk_seconds.into()));
     TransferRequest { need, want: need.max(chunk) }
 }
@@ -23,9 +23,9 @@
 /// How much of `available` to transfer for a request. The needed amount is given as far as it is
 /// available; the wanted amount only up to half of `available`, so that amounts shrink as a budget
 /// runs low and the last rights are not moved back and forth.
-pub fn transfer_amount(available: Tokens, ask: TransferRequest) -> Tokens {
-    let limited_want = ask.want.min(available.scaled(1, 2));
-    ask.need.max(limited_want).min(available)
+pub fn transfer_amount(available: Tokens, transfer_request: TransferRequest) -> Tokens {
+    let limited_want = transfer_request.want.min(available.scaled(1, 2));
+    transfer_request.need.max(limited_want).min(available)
 }
 
 /// The state of one zone as needed for rebalancing.
--- a/crates/router-core/src/control_link.rs
+++ b/crates/router-core/src/control_link.rs
@@ -42,7 +42,7 @@
         let timeout = Millis(self.directory.policy().router_timeout_ms);
         self.mirrors
             .iter()
-            .filter(|(_, mirror)| self.now.since(mirror.heard_at) > timeout)
+            .filter(|(_, mirror)| self.now.since(mirror.last_message_at) > timeout)
             .map(|(account, _)| account.clone())
             .collect()
     }
--- a/crates/router-core/src/dispatch.rs
+++ b/crates/router-core/src/dispatch.rs
@@ -232,7 +232,7 @@
         }
         let back_end = attempt.back_end.clone();
         if let Some(state) = self.balancer.get_mut(&back_end) {
-            state.on_end();
+            state.on_request_end();
         }
         match outcome {
             AttemptOutcome::NotSent { reason } => {
@@ -395,7 +395,7 @@
             }
             Stage::Running(attempt) => {
                 if let Some(state) = self.balancer.get_mut(&attempt.back_end) {
-                    state.on_end();
+                    state.on_request_end();
                 }
                 self.drop_unsent_call(id);
             }
--- a/crates/router-core/src/pulls.rs
+++ b/crates/router-core/src/pulls.rs
@@ -97,7 +97,8 @@
         };
         let demand = self.rights.demand.get(budget).map(policy::DemandAverage::per_second);
         let need = self.shortfall(budget);
-        let request = policy::ask(self.directory.policy(), need, demand.unwrap_or_default());
+        let request =
+            policy::transfer_request(self.directory.policy(), need, demand.unwrap_or_default());
         let since = self.now;
         if let Some(round) = self.rights.pull_rounds.get_mut(budget) {
             round.pulls.insert(account.clone(), PullState::Pending { since });
--- a/crates/settings/src/fleet.rs
+++ b/crates/settings/src/fleet.rs
@@ -1,6 +1,6 @@
 //! The settings file of a fleet.
 
-use crate::load::{Checked, Problem};
+use crate::load::{Problem, Validate};
 use serde::{Deserialize, Serialize};
 use stackpost_types::{KeyHash, MachineName, OperatorName, ZoneName, is_valid_name};
 use std::collections::{BTreeMap, BTreeSet};
@@ -183,7 +183,7 @@
     }
 }
 
-impl Checked for FleetSettings {
+impl Validate for FleetSettings {
     fn check(&self) -> Result<(), Problem> {
         check_machines(&self.machines)?;
         let replicas = self.replicas().count();
@@ -259,7 +259,7 @@
     in_range("control.lease_margin_ms", options.lease_margin_ms, 1, max)
 }
 
-impl Checked for OperatorsFile {
+impl Validate for OperatorsFile {
     fn check(&self) -> Result<(), Problem> {
         for (name, hash) in &self.0 {
             let well_formed = hash.0.len() == 64 && hash.0.bytes().all(|b| b.is_ascii_hexdigit());
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -13,4 +13,4 @@
     ControlEntry, ControlOptions, FleetSettings, LogFormat, LogLevel, LogOptions, MachineEntry,
     OperatorsFile, RouterEntry, RouterOptions,
 };
-pub use load::{Checked, Problem, load, parse};
+pub use load::{Problem, Validate, load, parse};
--- a/crates/settings/src/load.rs
+++ b/crates/settings/src/load.rs
@@ -33,13 +33,13 @@
 }
 
 /// Settings with rules beyond those that the types of their fields express.
-pub trait Checked {
+pub trait Validate {
     /// Checks the rules and returns the first problem.
     fn check(&self) -> Result<(), Problem>;
 }
 
 /// Reads and checks a settings file.
-pub fn load<T: DeserializeOwned + Checked>(path: &Path) -> Result<T, SettingsError> {
+pub fn load<T: DeserializeOwned + Validate>(path: &Path) -> Result<T, SettingsError> {
     let file = path.display().to_string();
     let text = std::fs::read_to_string(path)
         .map_err(|source| SettingsError::Read { file: file.clone(), source })?;
@@ -47,7 +47,7 @@
 }
 
 /// Parses and checks settings from `text`. Errors name `file` as their source.
-pub fn parse<T: DeserializeOwned + Checked>(file: &str, text: &str) -> Result<T, SettingsError> {
+pub fn parse<T: DeserializeOwned + Validate>(file: &str, text: &str) -> Result<T, SettingsError> {
     let value = parse_to_serde_value(text, &ParseOptions::default())
         .map_err(|error| SettingsError::Syntax {
             file: file.to_string(),
--- a/crates/sim/src/checks.rs
+++ b/crates/sim/src/checks.rs
@@ -17,7 +17,7 @@
 /// One of the eight invariants that the system guarantees.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[allow(missing_docs)]
-pub enum Promise {
+pub enum Invariant {
     NoOverspend,
     BilledOnce,
     OwnCompleteAnswer,
@@ -32,14 +32,14 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
     /// The invariant.
-    pub promise: Promise,
+    pub invariant: Invariant,
     /// What was found.
     pub what: String,
 }
 
 impl fmt::Display for Violation {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(formatter, "{:?}: {}", self.promise, self.what)
+        write!(formatter, "{:?}: {}", self.invariant, self.what)
     }
 }
 
@@ -53,7 +53,7 @@
 pub fn check(world: &World) -> Vec<Violation> {
     let bills = collect_bills(world);
     let mut found = Vec::new();
-    let mut add = |promise, what: String| found.push(Violation { promise, what });
+    let mut add = |invariant, what: String| found.push(Violation { invariant, what });
     check_spend(world, &bills, &mut add);
     for record in world.callers.records.values() {
         check_caller(world, record, &bills, &mut add);
@@ -105,7 +105,7 @@
     limits
 }
 
-fn check_spend(world: &World, bills: &Bills, add: &mut impl FnMut(Promise, String)) {
+fn check_spend(world: &World, bills: &Bills, add: &mut impl FnMut(Invariant, String)) {
     let limits = largest_limits(world);
     let mut spent: BTreeMap<&BudgetName, Tokens> = BTreeMap::new();
     for bill in bills.by_request.values().flatten() {
@@ -114,7 +114,7 @@
     for (budget, tokens) in spent {
         let limit = limits.get(budget).copied().unwrap_or_default();
         if tokens > limit {
-            add(Promise::NoOverspend, format!("{budget}: billed {tokens}, limit {limit}"));
+            add(Invariant::NoOverspend, format!("{budget}: billed {tokens}, limit {limit}"));
         }
     }
     for (machine, router) in world.live_routers() {
@@ -122,7 +122,7 @@
             for (budget, holding) in account.state().holdings() {
                 if holding.is_overdrawn() {
                     let what = format!("{machine}: {} of {budget} is overdrawn", account.id());
-                    add(Promise::NoOverspend, what);
+                    add(Invariant::NoOverspend, what);
                 }
             }
         }
@@ -134,7 +134,7 @@
 fn check_delivered(
     world: &World,
     limits: &BTreeMap<BudgetName, Tokens>,
-    add: &mut impl FnMut(Promise, String),
+    add: &mut impl FnMut(Invariant, String),
 ) {
     let mut delivered: BTreeMap<BudgetName, Tokens> = BTreeMap::new();
     for record in world.callers.records.values().filter(|record| record.is_answered()) {
@@ -145,7 +145,7 @@
     for (budget, tokens) in delivered {
         let limit = limits.get(&budget).copied().unwrap_or_default();
         if tokens > limit {
-            add(Promise::NoOverspend, format!("{budget}: delivered {tokens}, limit {limit}"));
+            add(Invariant::NoOverspend, format!("{budget}: delivered {tokens}, limit {limit}"));
         }
     }
 }
@@ -154,7 +154,7 @@
     world: &World,
     record: &CallerRecord,
     bills: &Bills,
-    add: &mut impl FnMut(Promise, String),
+    add: &mut impl FnMut(Invariant, String),
 ) {
     check_bills(record, bills, add);
     check_content(record, add);
@@ -163,27 +163,27 @@
     for attempt in &record.attempts {
         if let Some((at, AttemptEnd::Lost { planned: true })) = &attempt.end {
             let what = format!("{} interrupted {} at {at}", attempt.node, attempt.request);
-            add(Promise::PlannedStopInterruptsNothing, what);
+            add(Invariant::PlannedStopInterruptsNothing, what);
         }
         if attempt.end.is_none() {
             let what = format!("{} at {} never ended", attempt.request, attempt.node);
-            add(Promise::OwnCompleteAnswer, what);
+            add(Invariant::OwnCompleteAnswer, what);
         }
     }
 }
 
-fn check_bills(record: &CallerRecord, bills: &Bills, add: &mut impl FnMut(Promise, String)) {
+fn check_bills(record: &CallerRecord, bills: &Bills, add: &mut impl FnMut(Invariant, String)) {
     let of_attempt = |request: &RequestId| bills.by_request.get(request).map_or(0, Vec::len);
     for attempt in &record.attempts {
         let count = of_attempt(&attempt.request);
         if count > 1 {
-            add(Promise::BilledOnce, format!("{}: billed {count} times", attempt.request));
+            add(Invariant::BilledOnce, format!("{}: billed {count} times", attempt.request));
         }
         let not_run = matches!(&attempt.end,
             Some((_, AttemptEnd::Refused(refusal))) if refusal.outcome == ExecutionOutcome::NotRun);
         if not_run && count > 0 {
             add(
-                Promise::BilledOnce,
+                Invariant::BilledOnce,
                 format!("{}: refused as not run, but billed", attempt.request),
             );
         }
@@ -196,7 +196,7 @@
         .collect();
     let total: usize = record.attempts.iter().map(|a| of_attempt(&a.request)).sum();
     if record.plan.keyed && total > 1 {
-        add(Promise::BilledOnce, format!("caller {}: {total} bills under one key", record.id.0));
+        add(Invariant::BilledOnce, format!("caller {}: {total} bills under one key", record.id.0));
     }
     let lost = record
         .attempts
@@ -205,24 +205,24 @@
     for attempt in answered {
         let billed = if record.plan.keyed { total } else { of_attempt(&attempt.request) };
         if billed == 0 && !lost {
-            add(Promise::BilledOnce, format!("{}: answered, but not billed", attempt.request));
+            add(Invariant::BilledOnce, format!("{}: answered, but not billed", attempt.request));
         }
     }
 }
 
-fn check_content(record: &CallerRecord, add: &mut impl FnMut(Promise, String)) {
+fn check_content(record: &CallerRecord, add: &mut impl FnMut(Invariant, String)) {
     for end in record.ends() {
         if let AttemptEnd::Answered { content } = end
             && *content != record.id
         {
             let what =
                 format!("caller {} received the response for caller {}", record.id.0, content.0);
-            add(Promise::OwnCompleteAnswer, what);
+            add(Invariant::OwnCompleteAnswer, what);
         }
     }
 }
 
-fn check_refusals(world: &World, record: &CallerRecord, add: &mut impl FnMut(Promise, String)) {
+fn check_refusals(world: &World, record: &CallerRecord, add: &mut impl FnMut(Invariant, String)) {
     for attempt in &record.attempts {
         let Some((ended_at, AttemptEnd::Refused(refusal))) = &attempt.end else { continue };
         if refusal.outcome != ExecutionOutcome::NotRun {
@@ -244,12 +244,12 @@
                 "{} was refused at {ended_at} as not run ({}), but {} ran at {} on {}",
                 attempt.request, refusal.reason, run.request, run.at, run.back_end
             );
-            add(Promise::NotRunNeverExecuted, what);
+            add(Invariant::NotRunNeverExecuted, what);
         }
     }
 }
 
-fn check_executions(world: &World, record: &CallerRecord, add: &mut impl FnMut(Promise, String)) {
+fn check_executions(world: &World, record: &CallerRecord, add: &mut impl FnMut(Invariant, String)) {
     if record.plan.repeatable {
         return;
     }
@@ -260,11 +260,11 @@
     if runs.len() > 1 {
         let what =
             format!("caller {}: non-idempotent request ran more than once: {runs:?}", record.id.0);
-        add(Promise::AtMostOnce, what);
+        add(Invariant::AtMostOnce, what);
     }
 }
 
-fn check_leaving(world: &World, add: &mut impl FnMut(Promise, String)) {
+fn check_leaving(world: &World, add: &mut impl FnMut(Invariant, String)) {
     for run in &world.engines.executions {
         let back_end = &world.engines.back_ends[&run.back_end];
         if let Some(since) = back_end.leaving_since
@@ -274,14 +274,14 @@
                 "{} received {} at {}, leaving since {since}",
                 run.back_end, run.request, run.at
             );
-            add(Promise::NoNewWorkWhenLeaving, what);
+            add(Invariant::NoNewWorkWhenLeaving, what);
         }
     }
 }
 
-fn check_configuration(world: &World, add: &mut impl FnMut(Promise, String)) {
+fn check_configuration(world: &World, add: &mut impl FnMut(Invariant, String)) {
     for violation in &world.immediate_violations {
-        add(Promise::ConfigurationInForce, violation.clone());
+        add(Invariant::ConfigurationInForce, violation.clone());
     }
     let newest = world.edits.iter().filter_map(|edit| edit.accepted()).map(|(_, v)| v).max();
     let newest = newest.unwrap_or_default();
@@ -291,20 +291,20 @@
                 "{machine} has version {}, the newest accepted version is {newest}",
                 router.version()
             );
-            add(Promise::ConfigurationInForce, what);
+            add(Invariant::ConfigurationInForce, what);
         }
     }
     for edit in &world.edits {
         if edit.outcome().is_none() {
             let what = format!("{}: edit has no outcome", edit.edit.id.0);
-            add(Promise::ConfigurationInForce, what);
+            add(Invariant::ConfigurationInForce, what);
         }
     }
     check_rows(world, add);
 }
 
 /// Checks that every router has each row as the accepted edit with the highest version wrote it.
-fn check_rows(world: &World, add: &mut impl FnMut(Promise, String)) {
+fn check_rows(world: &World, add: &mut impl FnMut(Invariant, String)) {
     let mut last: BTreeMap<&RowKey, (Version, &Option<Row>)> = BTreeMap::new();
     for edit in &world.edits {
         if let Some((_, version)) = edit.accepted() {
@@ -318,7 +318,7 @@
         for (key, (version, row)) in &last {
             if router.table().get(key) != row.as_ref() {
                 let what = format!("{machine}: {key} differs from what version {version} wrote");
-                add(Promise::ConfigurationInForce, what);
+                add(Invariant::ConfigurationInForce, what);
             }
         }
     }
--- a/crates/sim/src/lib.rs
+++ b/crates/sim/src/lib.rs
@@ -26,7 +26,7 @@
 mod world;
 
 pub use callers::{AttemptEnd, CallerId, CallerRecord, RequestPlan};
-pub use checks::{Promise, Violation, check};
+pub use checks::{Invariant, Violation, check};
 pub use engines::Execution;
 pub use fault::Fault;
 pub use fleet::FleetShape;
--- a/crates/sim/tests/defects.rs
+++ b/crates/sim/tests/defects.rs
@@ -4,14 +4,14 @@
 mod support;
 
 use stackpost_router_core::Defects;
-use stackpost_sim::{Defect, Fault, Promise, Step};
+use stackpost_sim::{Defect, Fault, Invariant, Step};
 use support::{Cell, in_parallel, run_cell};
 
 /// Seeds run for each pair of fault and step.
 const SEEDS: u64 = 8;
 
-/// Whether some run with `defect` violates `promise`.
-fn violates(defect: Defect, faults: &[(Fault, Step)], promise: Promise) -> bool {
+/// Whether some run with `defect` violates `invariant`.
+fn violates(defect: Defect, faults: &[(Fault, Step)], invariant: Invariant) -> bool {
     let mut cells = Vec::new();
     for (fault, step) in faults {
         for seed in 0..SEEDS {
@@ -19,7 +19,10 @@
         }
     }
     let outcomes = in_parallel(&cells, |cell| run_cell(*cell, defect, false));
-    outcomes.iter().flat_map(|outcome| &outcome.violations).any(|found| found.promise == promise)
+    outcomes
+        .iter()
+        .flat_map(|outcome| &outcome.violations)
+        .any(|found| found.invariant == invariant)
 }
 
 fn router(defects: Defects) -> Defect {
@@ -32,13 +35,13 @@
 #[test]
 fn spending_without_reserving_is_detected() {
     let defect = router(Defects { skip_reserve: true, ..Defects::default() });
-    assert!(violates(defect, &CLOCK_JUMP, Promise::NoOverspend));
+    assert!(violates(defect, &CLOCK_JUMP, Invariant::NoOverspend));
 }
 
 #[test]
 fn a_second_bill_for_a_request_is_detected() {
     let defect = router(Defects { bill_twice: true, ..Defects::default() });
-    assert!(violates(defect, &CLOCK_JUMP, Promise::BilledOnce));
+    assert!(violates(defect, &CLOCK_JUMP, Invariant::BilledOnce));
 }
 
 #[test]
@@ -50,13 +53,13 @@
         (Fault::ZoneCutOff, Step::FirstBytes),
         (Fault::RouterFrozen, Step::IntentMirrored),
     ];
-    assert!(violates(defect, &faults, Promise::BilledOnce));
+    assert!(violates(defect, &faults, Invariant::BilledOnce));
 }
 
 #[test]
 fn a_response_sent_to_the_wrong_caller_is_detected() {
     let defect = router(Defects { swap_answers: true, ..Defects::default() });
-    assert!(violates(defect, &CLOCK_JUMP, Promise::OwnCompleteAnswer));
+    assert!(violates(defect, &CLOCK_JUMP, Invariant::OwnCompleteAnswer));
 }
 
 #[test]
@@ -67,28 +70,28 @@
         (Fault::RouterKilled, Step::KeyAsked),
         (Fault::RouterFrozen, Step::Dispatched),
     ];
-    assert!(violates(defect, &faults, Promise::NotRunNeverExecuted));
+    assert!(violates(defect, &faults, Invariant::NotRunNeverExecuted));
 }
 
 #[test]
 fn a_second_run_of_a_non_idempotent_request_is_detected() {
     let defect = router(Defects { retry_after_send: true, ..Defects::default() });
     let faults = [(Fault::EngineDiesDuring, Step::Dispatched)];
-    assert!(violates(defect, &faults, Promise::AtMostOnce));
+    assert!(violates(defect, &faults, Invariant::AtMostOnce));
 }
 
 #[test]
 fn requests_to_a_leaving_back_end_are_detected() {
     let defect = router(Defects { ignore_leaving: true, ..Defects::default() });
     let faults = [(Fault::EngineLeaves, Step::Dispatched)];
-    assert!(violates(defect, &faults, Promise::NoNewWorkWhenLeaving));
+    assert!(violates(defect, &faults, Invariant::NoNewWorkWhenLeaving));
 }
 
 #[test]
 fn a_planned_stop_that_interrupts_requests_is_detected() {
     let defect = router(Defects { drain_at_once: true, ..Defects::default() });
     let faults = [(Fault::PlannedStop, Step::Dispatched), (Fault::PlannedStop, Step::FirstBytes)];
-    assert!(violates(defect, &faults, Promise::PlannedStopInterruptsNothing));
+    assert!(violates(defect, &faults, Invariant::PlannedStopInterruptsNothing));
 }
 
 #[test]
@@ -101,7 +104,7 @@
         (Fault::RouterFrozen, Step::ConfigurationPushed),
         (Fault::LeaderCutOffSilently, Step::ConfigurationPushed),
     ];
-    assert!(violates(defect, &faults, Promise::ConfigurationInForce));
+    assert!(violates(defect, &faults, Invariant::ConfigurationInForce));
 }
 
 #[test]
@@ -111,5 +114,5 @@
         (Fault::RestartAfterManyEdits, Step::EditProposed),
         (Fault::LeaderKilled, Step::EntriesAcknowledged),
     ];
-    assert!(violates(defect, &faults, Promise::ConfigurationInForce));
+    assert!(violates(defect, &faults, Invariant::ConfigurationInForce));
 }
