--- a/crates/balance/src/back_end.rs
+++ b/crates/balance/src/back_end.rs
@@ -31,7 +31,7 @@
     pub in_flight: u32,
     leaving_by_platform: bool,
     report: LoadReport,
-    reported_at: Timestamp,
+    report_sampled_at: Timestamp,
     /// Times of this router's dispatches since the report was sampled, which it does not include.
     recent_dispatches: VecDeque<Timestamp>,
     consecutive_failures: u32,
@@ -51,7 +51,7 @@
             in_flight: 0,
             leaving_by_platform: false,
             report: LoadReport::default(),
-            reported_at: Timestamp::default(),
+            report_sampled_at: Timestamp::default(),
             recent_dispatches: VecDeque::new(),
             consecutive_failures: 0,
             consecutive_ejections: 0,
@@ -108,11 +108,11 @@
     /// it ends an ejection whose time has passed. Reports older than the newest one are ignored.
     pub fn on_report(&mut self, now: Timestamp, report: LoadReport) {
         let sampled_at = Timestamp(now.0.saturating_sub(report.age_ms));
-        if sampled_at < self.reported_at {
+        if sampled_at < self.report_sampled_at {
             return;
         }
         self.report = report;
-        self.reported_at = sampled_at;
+        self.report_sampled_at = sampled_at;
         while self
             .recent_dispatches
             .front()
--- a/crates/control/src/replica_handle.rs
+++ b/crates/control/src/replica_handle.rs
@@ -19,7 +19,7 @@
 use tokio::sync::oneshot;
 
 /// Time between two ticks of the state machine.
-const TICK: Duration = Duration::from_millis(20);
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 /// Folder of the replicated log, inside the data folder.
 const LOG_FOLDER: &str = "log";
 /// Folder of the bills, inside the data folder.
@@ -84,7 +84,7 @@
 }
 
 struct ReplicaThread {
-    started: Instant,
+    started_at: Instant,
     replica: FileReplica,
     outbox: Outbox,
     client: Client,
@@ -111,9 +111,9 @@
         defects: Default::default(),
     };
     let (log_disk, bill_disk) = open_folders(data_folder)?;
-    let started = Instant::now();
+    let started_at = Instant::now();
     let new_identity = rand::random();
-    let replica = Replica::open(config, log_disk, bill_disk, new_identity, clock(started))?;
+    let replica = Replica::open(config, log_disk, bill_disk, new_identity, clock(started_at))?;
     let (tasks, queue) = channel();
     let replica_handle = ReplicaHandle { tasks };
     let replicas = settings
@@ -121,7 +121,7 @@
         .map(|(machine, control)| (machine.name.clone(), control.peer))
         .collect();
     let replica_thread = ReplicaThread {
-        started,
+        started_at,
         replica,
         outbox: Outbox::new(Peer::Control(entry.name.clone())),
         client: Client::unpooled(),
@@ -164,8 +164,8 @@
 }
 
 /// Time on the replica's clock. The clock starts at 1000 ms, since zero means "never" in timers.
-fn clock(started: Instant) -> Timestamp {
-    Timestamp(started.elapsed().as_millis() as u64 + 1_000)
+fn clock(started_at: Instant) -> Timestamp {
+    Timestamp(started_at.elapsed().as_millis() as u64 + 1_000)
 }
 
 impl ReplicaThread {
@@ -183,7 +183,7 @@
                 Err(RecvTimeoutError::Disconnected) => return,
             }
             if Instant::now() >= tick_at {
-                tick_at = Instant::now() + TICK;
+                tick_at = Instant::now() + TICK_INTERVAL;
                 self.handle(ControlEvent::Tick);
             }
         }
@@ -197,7 +197,7 @@
     }
 
     fn handle(&mut self, event: ControlEvent) {
-        match self.replica.handle(clock(self.started), event) {
+        match self.replica.handle(clock(self.started_at), event) {
             Ok(effects) => {
                 for effect in effects {
                     self.execute(effect);
@@ -221,12 +221,12 @@
                 }
             }
             ControlEffect::Order { back_end, address, order, not_after } => {
-                let started = self.started;
+                let started_at = self.started_at;
                 let send = orders::send(
                     self.client.clone(),
                     self.replica_handle.clone(),
                     orders::AddressedOrder { back_end, address, order },
-                    move || clock(started) < not_after,
+                    move || clock(started_at) < not_after,
                 );
                 self.runtime.spawn(send);
             }
--- a/crates/ledger/src/owner.rs
+++ b/crates/ledger/src/owner.rs
@@ -14,7 +14,7 @@
 /// Maximum number of changes in one message.
 const RECORDS_PER_MESSAGE: usize = 512;
 
-/// Effect of a new view on the owner.
+/// Effect of a new view, the account's row in the table, on the owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ViewChange {
     /// The view is not newer than the known one.
@@ -68,7 +68,8 @@
     zone: ZoneName,
     state: AccountState,
     sequence: u64,
-    /// Changes not yet acknowledged by every replica; the first is numbered `sequence − len + 1`.
+    /// Changes not yet acknowledged by every replica that holds a copy; the first is numbered
+    /// `sequence − len + 1`.
     unacked: VecDeque<Record>,
     backup: Option<ReplicaProgress>,
     candidate: Option<ReplicaProgress>,
@@ -301,7 +302,8 @@
         self.sequence
     }
 
-    /// Drops changes that every replica has acknowledged.
+    /// Drops changes that every replica with a copy has acknowledged. A replica without one is sent
+    /// a snapshot, which includes them.
     fn trim(&mut self) {
         let replicas = [self.backup.as_ref(), self.candidate.as_ref()];
         let confirmed = |replica: &ReplicaProgress| {
--- a/crates/ledger/src/policy.rs
+++ b/crates/ledger/src/policy.rs
@@ -39,7 +39,7 @@
     pub weight: u64,
 }
 
-/// Moves of at most this fraction of the receiving zone's target are skipped.
+/// A move is skipped if it is at most the receiving zone's target divided by this.
 const NEGLIGIBLE_DIVISOR: u64 = 20;
 
 /// How much zone `own` should send to zone `other`, both indices into `zones`. Each zone's target
@@ -71,9 +71,10 @@
     by_weight + by_demand
 }
 
-/// Target of the unmirrored account when `mirrored` rights are available in the mirrored one.
-pub fn solo_target(policy: &PolicyRow, mirrored: Tokens) -> Tokens {
-    mirrored.scaled(policy.solo_share_permille.into(), 1_000)
+/// Target of the unmirrored account when `available` rights are available in it and in the mirrored
+/// account together.
+pub fn solo_target(policy: &PolicyRow, available: Tokens) -> Tokens {
+    available.scaled(policy.solo_share_permille.into(), 1_000)
 }
 
 /// How much of a recalled amount an account returns at once.
--- a/crates/ledger/src/record.rs
+++ b/crates/ledger/src/record.rs
@@ -29,13 +29,14 @@
 pub enum BillKind {
     /// The back end's own count, or the route's price.
     Reported,
-    /// The back end reported more than was reserved; the reserved amount is billed.
+    /// More than the reserved amount was reported or counted; the reserved amount is billed.
     CappedAtBound,
     /// The back end reported less than it sent, or nothing; the tokens counted by the router are
     /// billed.
     Counted,
-    /// The router crashed while the request ran and the back end could not report the usage; the
-    /// reserved amount is billed.
+    /// The usage is unknown: the router crashed while the request ran and the back end could not
+    /// report it, or the response to a non-idempotent request was interrupted. The reserved amount
+    /// is billed.
     Estimated,
 }
 
--- a/crates/router-core/src/call.rs
+++ b/crates/router-core/src/call.rs
@@ -87,7 +87,7 @@
     pub dispatched: bool,
 }
 
-/// State of a request in process.
+/// State of a request being processed.
 #[derive(Clone, Debug)]
 pub(crate) struct CallState {
     pub call: Call,
--- a/crates/router-core/src/effect.rs
+++ b/crates/router-core/src/effect.rs
@@ -70,7 +70,7 @@
     },
     /// The caller has disconnected, and the request was dropped without having been sent.
     Dropped(CallId),
-    /// Query a back end for the usage of a request, and cancel the request there.
+    /// Query a back end for the usage of a request whose router has crashed.
     QueryUsage {
         /// The account that holds the intent.
         account: AccountId,
--- a/crates/router-core/src/event.rs
+++ b/crates/router-core/src/event.rs
@@ -132,13 +132,13 @@
     },
     /// The platform's machine list was read.
     Platform(Vec<PlatformEntry>),
-    /// A back end answered a query for the usage of a request whose router has crashed.
+    /// A query for the usage of a request whose router has crashed has ended.
     UsageReceived {
         /// The account that holds the intent.
         account: AccountId,
         /// The request.
         request: RequestId,
-        /// The usage; `None` if the back end does not know it.
+        /// The usage; `None` if the back end does not know it or did not respond.
         usage: Option<Usage>,
     },
     /// The process was asked to stop: begin a planned stop.
--- a/crates/router-core/src/keys.rs
+++ b/crates/router-core/src/keys.rs
@@ -16,7 +16,8 @@
 /// Maximum wait for the key's keeper, the owner of the account that stores the key, before the
 /// request is refused.
 const KEEPER_TIMEOUT: Millis = Millis(800);
-/// Maximum wait for the holder of the key, the account that ran the earlier request.
+/// Maximum time without a reply from the holder of the key, the account that ran the earlier
+/// request. A reply that the request is still running restarts it.
 const HOLDER_TIMEOUT: Millis = Millis(5_000);
 
 /// The key slot of a zone that stores `key`.
--- a/crates/router-core/src/pulls.rs
+++ b/crates/router-core/src/pulls.rs
@@ -15,9 +15,11 @@
 /// Maximum number of other holders named in a reply.
 const MAX_HINTS: usize = 4;
 
-/// Pulls for a budget's rights since the first call began to wait for them.
+/// Search for a budget's rights since the first call began to wait for them, in rounds of pulls to
+/// the holders. A holder that timed out is not tried again unless its reply still
+/// arrives.
 #[derive(Debug)]
-pub(crate) struct PullRound {
+pub(crate) struct PullSearch {
     started_at: Timestamp,
     round_started_at: Timestamp,
     pulls: BTreeMap<AccountId, PullState>,
@@ -32,8 +34,8 @@
 
 impl RightsState {
     fn has_pending_pull(&self, budget: &BudgetName) -> bool {
-        self.pull_rounds.get(budget).is_some_and(|round| {
-            round.pulls.values().any(|state| matches!(state, PullState::Pending { .. }))
+        self.pull_searches.get(budget).is_some_and(|search| {
+            search.pulls.values().any(|state| matches!(state, PullState::Pending { .. }))
         })
     }
 }
@@ -51,7 +53,7 @@
             return;
         }
         let now = self.now;
-        self.rights.pull_rounds.entry(budget.clone()).or_insert_with(|| PullRound {
+        self.rights.pull_searches.entry(budget.clone()).or_insert_with(|| PullSearch {
             started_at: now,
             round_started_at: now,
             pulls: BTreeMap::new(),
@@ -87,8 +89,8 @@
     }
 
     fn next_account_to_pull(&self, budget: &BudgetName) -> Option<AccountId> {
-        let round = self.rights.pull_rounds.get(budget)?;
-        self.holders(budget).into_iter().find(|account| !round.pulls.contains_key(account))
+        let search = self.rights.pull_searches.get(budget)?;
+        self.holders(budget).into_iter().find(|account| !search.pulls.contains_key(account))
     }
 
     fn send_pull(&mut self, budget: &BudgetName, account: AccountId) {
@@ -100,8 +102,8 @@
         let request =
             policy::transfer_request(self.directory.policy(), need, demand.unwrap_or_default());
         let since = self.now;
-        if let Some(round) = self.rights.pull_rounds.get_mut(budget) {
-            round.pulls.insert(account.clone(), PullState::Pending { since });
+        if let Some(search) = self.rights.pull_searches.get_mut(budget) {
+            search.pulls.insert(account.clone(), PullState::Pending { since });
         }
         let first = self.rights.waiting.get(budget).and_then(|queue| queue.front().copied());
         if let Some(id) = first {
@@ -120,28 +122,28 @@
     /// All accounts have been tried. Keeps the calls waiting while rights may become available, and
     /// refuses the first one otherwise.
     fn on_round_complete(&mut self, budget: &BudgetName) {
-        let Some(round) = self.rights.pull_rounds.get(budget) else {
+        let Some(search) = self.rights.pull_searches.get(budget) else {
             return;
         };
-        let unreachable: Vec<AccountId> = round
+        let unreachable: Vec<AccountId> = search
             .pulls
             .iter()
             .filter(|(_, state)| **state == PullState::TimedOut)
             .map(|(account, _)| account.clone())
             .collect();
-        let may_become_available = round.pulls.values().any(|state| match state {
+        let may_become_available = search.pulls.values().any(|state| match state {
             PullState::Answered { reserved, granted } => !reserved.is_zero() || !granted.is_zero(),
             _ => false,
         });
         let own = self.owned.get(&self.main).and_then(|main| main.state().holding(budget));
         let own_reserved = own.is_some_and(|holding| !holding.reserved().is_zero())
             || !self.rights.reserved_locally(&self.main, budget).is_zero();
-        let waited = self.now.since(round.started_at);
+        let waited = self.now.since(search.started_at);
         let timeout = Millis(self.directory.policy().rights_wait_ms);
         let no_rights_expected = !may_become_available && !own_reserved && unreachable.is_empty();
         if no_rights_expected || waited >= timeout {
             self.refuse_first_waiting(budget, &unreachable);
-            self.rights.pull_rounds.remove(budget);
+            self.rights.pull_searches.remove(budget);
             self.start_pulls(budget);
         }
     }
@@ -150,8 +152,8 @@
         let now = self.now;
         let budgets: Vec<BudgetName> = self.rights.waiting.keys().cloned().collect();
         for budget in budgets {
-            if let Some(round) = self.rights.pull_rounds.get_mut(&budget) {
-                for state in round.pulls.values_mut() {
+            if let Some(search) = self.rights.pull_searches.get_mut(&budget) {
+                for state in search.pulls.values_mut() {
                     if matches!(
                     state,
                     PullState::Pending { since } if now.since(*since) >= PULL_TIMEOUT
@@ -160,10 +162,10 @@
                     }
                 }
                 let complete =
-                    !round.pulls.values().any(|state| matches!(state, PullState::Pending { .. }));
-                if complete && now.since(round.round_started_at) >= ROUND_INTERVAL {
-                    round.round_started_at = now;
-                    round.pulls.retain(|_, state| *state == PullState::TimedOut);
+                    !search.pulls.values().any(|state| matches!(state, PullState::Pending { .. }));
+                if complete && now.since(search.round_started_at) >= ROUND_INTERVAL {
+                    search.round_started_at = now;
+                    search.pulls.retain(|_, state| *state == PullState::TimedOut);
                 }
             }
             self.reserve_for_waiting(&budget);
@@ -234,9 +236,9 @@
         for account in &reply.others {
             self.add_holder_hint(&reply.budget, account);
         }
-        if let Some(round) = self.rights.pull_rounds.get_mut(&reply.budget) {
+        if let Some(search) = self.rights.pull_searches.get_mut(&reply.budget) {
             let answered = PullState::Answered { reserved: reply.reserved, granted: reply.granted };
-            round.pulls.insert(reply.from, answered);
+            search.pulls.insert(reply.from, answered);
         }
         // Granted rights arrive in a separate transfer, so no other account is tried before that.
         if reply.granted < self.shortfall(&reply.budget) || reply.granted.is_zero() {
--- a/crates/router-core/src/rights.rs
+++ b/crates/router-core/src/rights.rs
@@ -1,7 +1,7 @@
 //! Reservation of a request's maximum cost before anything is sent.
 
 use crate::call::{CallId, CallState, Stage};
-use crate::pulls::PullRound;
+use crate::pulls::PullSearch;
 use crate::refusal::{Refusal, RefusalReason};
 use crate::router::Router;
 use crate::trace::TraceStep;
@@ -22,7 +22,7 @@
 pub(crate) struct RightsState {
     reserved: BTreeMap<(AccountId, BudgetName), Tokens>,
     pub waiting: BTreeMap<BudgetName, VecDeque<CallId>>,
-    pub pull_rounds: BTreeMap<BudgetName, PullRound>,
+    pub pull_searches: BTreeMap<BudgetName, PullSearch>,
     pub outgoing: BTreeMap<(AccountId, AccountId, BudgetName), OutgoingTransfer>,
     pub demand: BTreeMap<BudgetName, DemandAverage>,
     pub remote_holdings: BTreeMap<BudgetName, BTreeMap<AccountId, RemoteHolding>>,
@@ -127,7 +127,8 @@
         self.enqueue(id);
     }
 
-    /// Removes a call from the queue for rights.
+    /// Removes a call from the queue for rights. If no call is left, the search for the budget's
+    /// rights ends.
     pub(crate) fn remove_from_rights_queue(&mut self, budget: &BudgetName, id: CallId) {
         let Some(queue) = self.rights.waiting.get_mut(budget) else {
             return;
@@ -135,7 +136,7 @@
         queue.retain(|waiting| *waiting != id);
         if queue.is_empty() {
             self.rights.waiting.remove(budget);
-            self.rights.pull_rounds.remove(budget);
+            self.rights.pull_searches.remove(budget);
         }
     }
 
--- a/crates/router-core/src/router.rs
+++ b/crates/router-core/src/router.rs
@@ -29,7 +29,7 @@
     pub control: Vec<MachineName>,
     /// Whether the platform publishes a machine list.
     pub has_platform: bool,
-    /// Injected faults, which verify that the test checks detect them. All off in production.
+    /// Faults that tests inject. All are off in production.
     pub defects: Defects,
 }
 
@@ -63,13 +63,13 @@
     pub node: NodeId,
     /// The machine's zone.
     pub zone: ZoneName,
-    /// Whether it accepts requests.
+    /// Whether it is ready, as reported to readiness probes.
     pub ready: bool,
     /// Whether a planned stop is in progress.
     pub draining: bool,
     /// Version of the configuration in force.
     pub version: Version,
-    /// Requests in process.
+    /// Requests being processed.
     pub in_flight: usize,
     /// Requests waiting for a back end.
     pub queued: usize,
@@ -179,8 +179,9 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// Whether requests are accepted: there is a confirmed configuration, a backup and, where the
-    /// platform publishes one, a machine list.
+    /// Whether the router is ready, as reported to readiness probes: it is not stopping and has a
+    /// confirmed configuration, a backup and, where the platform publishes one, a machine list (or
+    /// has waited for the list until the timeout).
     pub fn is_ready(&self) -> bool {
         let in_service = self.draining.is_none() && !self.fenced;
         in_service && self.directory.confirmed && self.has_backup() && self.platform_list_ready()
--- a/crates/router-core/src/transfers.rs
+++ b/crates/router-core/src/transfers.rs
@@ -1,5 +1,5 @@
 //! Movement of rights between accounts: transfers, rebalancing, recalls and the share of the
-//! unmirrored (solo) account.
+//! unmirrored (solo) account. The home accounts of a budget are those to which it was issued.
 
 use crate::deferred::DeferredAction;
 use crate::router::Router;
--- a/crates/router/src/api.rs
+++ b/crates/router/src/api.rs
@@ -33,12 +33,14 @@
     fingerprint: Digest,
     /// The body is streamed without being buffered, so the request can't be sent twice.
     single_use: bool,
-    /// The rest of a streamed body, to be forwarded to the back end.
+    /// A streamed body, to be forwarded to the back end.
     body_feed: Option<BodyFeed>,
 }
 
 struct BodyFeed {
+    /// The part of the body that has not been read yet.
     body: RequestStream,
+    /// The chunks read before streaming began.
     first: Vec<Bytes>,
     chunks: mpsc::Sender<Result<Bytes, BodyAborted>>,
     limit: usize,
--- a/crates/router/src/envelope.rs
+++ b/crates/router/src/envelope.rs
@@ -21,7 +21,7 @@
     /// Kind of error in the terms of the chat-completions protocol.
     #[serde(rename = "type")]
     pub kind: &'static str,
-    /// The invalid parameter, if one is.
+    /// The invalid parameter, if the error concerns one.
     pub param: Option<String>,
     /// Machine-readable reason.
     pub code: String,
@@ -40,7 +40,7 @@
     pub status: StatusCode,
     /// Machine-readable reason.
     pub code: &'static str,
-    /// The invalid parameter, if one is.
+    /// The invalid parameter, if the error concerns one.
     pub param: Option<String>,
     /// Human-readable message.
     pub message: String,
