--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -159,9 +159,9 @@
     }
 
     /// A majority that has received nothing from a leader for the length of a lease is enough.
-    /// After a restart it is also enough that every voter replies that it is not the leader:
-    /// whoever held a lease is one of the voters, so no lease is left, whatever a voter had
-    /// promised before its restart.
+    /// After a restart it is also enough that every voter replies that it is not the leader and has
+    /// promised nothing since it started: whoever held a lease is one of the voters, so no lease is
+    /// left, whatever a voter had promised before its restart.
     fn count_pre_votes(&mut self) {
         let no_live_leader = self.voters().keys().all(|voter| self.just_started.contains(voter));
         if no_live_leader || self.votes.len() >= self.quorum() {
--- a/crates/consensus/src/election_event.rs
+++ b/crates/consensus/src/election_event.rs
@@ -29,7 +29,10 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::CandidateBehind { candidate, own } => {
-                write!(formatter, "the candidate's log ends at {candidate}, the own log at {own}")
+                write!(
+                    formatter,
+                    "the candidate's log ends at {candidate}, this replica's log at {own}"
+                )
             }
             Self::StaleTerm => write!(formatter, "the candidate's term is stale"),
             Self::LeaseMayBeActive => write!(formatter, "a leader may hold a lease"),
--- a/crates/consensus/src/raft.rs
+++ b/crates/consensus/src/raft.rs
@@ -23,7 +23,8 @@
     /// The voters until a snapshot or an entry names them. Empty for a replica that has yet to be
     /// added by the others.
     pub initial_voters: Voters,
-    /// Shortest time without a message of the leader before a campaign. Also the length of a lease.
+    /// Shortest time without a message from the leader before a campaign. Also the length of a
+    /// lease.
     pub election_timeout: Millis,
     /// Time between two heartbeats.
     pub heartbeat_interval: Millis,
@@ -239,7 +240,7 @@
     /// Processes a message.
     pub fn step(&mut self, now: Timestamp, envelope: Envelope) {
         self.now = self.now.max(now);
-        if self.is_foreign(&envelope) {
+        if self.is_reply_from_unknown(&envelope) {
             return;
         }
         self.observe_term(&envelope);
@@ -362,7 +363,7 @@
     /// accepted from any machine: the sender acts by its own log, which may be ahead of this one
     /// (Ongaro's dissertation, section 4.1). This is safe: a candidate counts only the votes of
     /// identities in its own log, and a removed machine lacks the entry that removes it.
-    fn is_foreign(&self, envelope: &Envelope) -> bool {
+    fn is_reply_from_unknown(&self, envelope: &Envelope) -> bool {
         let is_reply = matches!(
             envelope.message,
             Message::AppendReply { .. } | Message::PreVoteReply { .. } | Message::VoteReply { .. }
@@ -392,8 +393,8 @@
         entries
     }
 
-    /// Adopts a newer term and becomes a follower in it. A pre-vote is only a question, and a
-    /// granted reply to it names a term that no replica has entered yet.
+    /// Adopts a newer term and becomes a follower in it. The term of a pre-vote or of a positive
+    /// reply to one is not adopted: no replica has entered it yet.
     fn observe_term(&mut self, envelope: &Envelope) {
         let is_hypothetical = matches!(
             envelope.message,
@@ -474,9 +475,9 @@
 
     /// A pre-vote does not disturb other replicas, so a failed one is retried soon.
     pub(crate) fn retry_campaign_soon(&mut self) {
-        let least = self.config.heartbeat_interval.0;
-        let spread = self.rng.random_range(0..=least);
-        self.campaign_at = self.now + Millis(least + spread);
+        let base = self.config.heartbeat_interval.0;
+        let spread = self.rng.random_range(0..=base);
+        self.campaign_at = self.now + Millis(base + spread);
     }
 
     /// Whether the last contact with a leader is so recent that the leader may rely on its lease.
--- a/crates/consensus/src/replication.rs
+++ b/crates/consensus/src/replication.rs
@@ -20,7 +20,7 @@
         self.check_quorum();
     }
 
-    /// A leader that got no replies of a majority for an election timeout steps down: another
+    /// A leader that got no replies from a majority for an election timeout steps down: another
     /// leader may have been elected without its knowledge.
     fn check_quorum(&mut self) {
         let confirmed = self.majority_round_time().unwrap_or(self.leader_since);
--- a/crates/coordinator/src/control_metrics.rs
+++ b/crates/coordinator/src/control_metrics.rs
@@ -1,5 +1,6 @@
-//! OpenTelemetry metrics of a control process under the usual Prometheus names. Label sets are
-//! bounded: states, calls and replies are enumerations, and no label value comes from a caller.
+//! OpenTelemetry metrics of a control process, named by the usual Prometheus conventions. Label
+//! sets are bounded: states, calls and replies are enumerations, and no label value comes from a
+//! caller.
 
 use crate::replica_api::{PutReply, ReadReply};
 use stackpost_gateway_core::{EngineState, MergeOutcome};
--- a/crates/coordinator/src/control_state.rs
+++ b/crates/coordinator/src/control_state.rs
@@ -21,7 +21,7 @@
 pub(crate) struct ControlState {
     pub directory: EngineDirectory,
     pub silent: SilentEngineList,
-    /// Committed departures, as applied by the own replica or received from the leader.
+    /// Committed departures, as applied by this process's replica or received from the leader.
     pub departures: KnownDepartures,
     pub uncommitted: UncommittedDepartures,
     /// Engines that have repeated their announcement since the last status.
--- a/crates/coordinator/src/departures.rs
+++ b/crates/coordinator/src/departures.rs
@@ -87,7 +87,7 @@
         self.replica.send(ReplicaEvent::DepartureNotices(records));
     }
 
-    /// Copies new departures from the own replica.
+    /// Copies new departures from this process's replica.
     pub(crate) fn sync_departures(&self) {
         let view = self.replica.view();
         let revision = self.state.borrow().departures.revision();
--- a/crates/coordinator/src/engine_updates.rs
+++ b/crates/coordinator/src/engine_updates.rs
@@ -147,7 +147,7 @@
     }
 
     /// Merges engine notices of another control process. That process has sent them to the routers
-    /// it is connected to; this one sends them to its routers with the next status.
+    /// it is connected to; this one sends them to its routers at the next status interval.
     pub(crate) fn on_engines(&self, notices: Vec<EngineNotice>) {
         let now = self.now();
         for notice in notices {
@@ -193,7 +193,7 @@
         }
     }
 
-    /// Tells the replica that an engine with crash sightings has announced itself again.
+    /// Notifies the replica that an engine with crash sightings has announced itself again.
     fn on_repeated_announcement(&self, engine: &BackEndName) {
         if self.replica.view().quarantine.has_crashes_of(engine) {
             self.replica.send(ReplicaEvent::EngineAnnounced(engine.clone()));
--- a/crates/coordinator/src/links.rs
+++ b/crates/coordinator/src/links.rs
@@ -76,9 +76,9 @@
     pub fn one_per_peer(&self, now: Timestamp, role: PeerRole) -> Vec<LinkId> {
         let mut best: BTreeMap<&NodeId, (LinkId, &Link)> = BTreeMap::new();
         for (id, link) in self.links.iter().filter(|(_, link)| link.peer.role == role) {
-            let held = best.entry(&link.peer.node).or_insert((*id, link));
-            if rank(now, *id, link) > rank(now, held.0, held.1) {
-                *held = (*id, link);
+            let chosen = best.entry(&link.peer.node).or_insert((*id, link));
+            if rank(now, *id, link) > rank(now, chosen.0, chosen.1) {
+                *chosen = (*id, link);
             }
         }
         best.into_values().map(|(id, _)| id).collect()
--- a/crates/coordinator/src/message.rs
+++ b/crates/coordinator/src/message.rs
@@ -98,7 +98,7 @@
 pub enum FleetMessage {
     /// Between control replicas: the replicated log.
     Raft(Envelope),
-    /// From a control replica to everyone.
+    /// From a control replica to all connected processes.
     ControlStatus(ControlStatus),
     /// From a control replica to a router.
     Document(PackedDocument),
--- a/crates/coordinator/src/prepaid_planner.rs
+++ b/crates/coordinator/src/prepaid_planner.rs
@@ -97,7 +97,6 @@
         }
     }
 
-    /// Records a router's report.
     pub fn on_report(&mut self, now: Timestamp, router: &NodeId, status: RouterStatus) {
         self.urgent |= status.accounts.iter().any(|(_, account)| !account.wanted.is_zero());
         if !self.routers.contains_key(router) {
@@ -188,7 +187,7 @@
         }
     }
 
-    /// Takes the planned recalls.
+    /// Returns the planned recalls and clears them.
     pub fn take_recalls(&mut self) -> BTreeMap<NodeId, Vec<(TenantName, Tokens)>> {
         std::mem::take(&mut self.recalls)
     }
@@ -244,7 +243,7 @@
             log::info!(
                 lost = lost,
                 routers = routers;
-                "routers were lost together: withheld last parts of budgets may be spent"
+                "routers were lost together: the guards of all budgets may be granted"
             );
         }
         commands
--- a/crates/coordinator/src/replica.rs
+++ b/crates/coordinator/src/replica.rs
@@ -304,7 +304,8 @@
     fn retry_read(&mut self, now: Timestamp, mut read: PendingRead) -> PendingRead {
         if now.since(read.requested_at) > READ_RETRY_INTERVAL {
             read.requested_at = now;
-            // This fails only if this replica is no longer the leader, which the next tick handles.
+            // Fails as long as the leader has not committed an entry of its term; a later tick
+            // retries.
             let _ = self.raft.read_index(read.context);
         }
         read
--- a/crates/coordinator/src/replica_api.rs
+++ b/crates/coordinator/src/replica_api.rs
@@ -20,7 +20,7 @@
     pub initial_voters: Option<Vec<MachineName>>,
     /// Identity of the data folder if it has to be created.
     pub new_identity: u64,
-    /// Shortest time without a message of the leader before a campaign.
+    /// Shortest time without a message from the leader before a campaign.
     pub election_timeout: Millis,
     /// Time between two heartbeats.
     pub heartbeat_interval: Millis,
--- a/crates/coordinator/src/replica_logger.rs
+++ b/crates/coordinator/src/replica_logger.rs
@@ -38,7 +38,6 @@
         Self { logged_at: BTreeMap::new(), voters, leader_known_at: now }
     }
 
-    /// Logs one event of an election.
     pub fn log_election(&mut self, now: Timestamp, event: &ElectionEvent) {
         let line = match event {
             ElectionEvent::PreVoteRequested { .. } => "requests pre-votes".to_string(),
--- a/crates/coordinator/src/voters.rs
+++ b/crates/coordinator/src/voters.rs
@@ -7,9 +7,9 @@
 //! before and after it, share a replica.
 //!
 //! The successor of a lost machine must vote before the next machine may be lost, whichever replica
-//! leads: an election, this much silence and two changes must fit into the time that a new machine
-//! has to catch up (four seconds from its start). A voter that was only partitioned stays available
-//! as a standby when it reconnects.
+//! leads: an election, [`REPLACE_AFTER`] and two changes must fit into the time that a new machine
+//! has to catch up (four seconds from its start). A voter that was only partitioned is available as
+//! a standby when it reconnects.
 
 use stackpost_types::{MachineName, Millis, ZoneName};
 use std::collections::{BTreeMap, BTreeSet};
@@ -34,7 +34,6 @@
 pub struct VoterView {
     /// The leader itself.
     pub own: MachineName,
-    /// The voters.
     pub voters: BTreeMap<MachineName, VoterStatus>,
     /// Connected machines that do not vote, with their zones.
     pub standby: BTreeMap<MachineName, ZoneName>,
@@ -60,7 +59,6 @@
     Remove(MachineName),
 }
 
-/// Chooses the next step.
 pub fn next_step(view: &VoterView) -> VoterStep {
     let renewed = view.caught_up.iter().find(|(machine, _)| view.voters.contains_key(*machine));
     if let Some((machine, identity)) = renewed {
--- a/crates/coordinator/tests/departures.rs
+++ b/crates/coordinator/tests/departures.rs
@@ -48,7 +48,7 @@
     let mut acknowledged = BTreeMap::new();
     while world.now < end {
         let pause = world.rng.random_range(20..400);
-        let before = world.now + pause;
+        let deadline = world.now + pause;
         let machine = world.rng.random_range(0..MACHINES);
         let state = if submitted % 2 == 0 { EngineState::Gone } else { EngineState::Draining };
         submit(&mut world, machine, departure(submitted, state));
@@ -60,7 +60,8 @@
             })
             .collect();
         world.run_until(|world| {
-            world.now >= before || latest.iter().any(|departure| is_acknowledged(world, departure))
+            world.now >= deadline
+                || latest.iter().any(|departure| is_acknowledged(world, departure))
         });
         for departure in latest {
             if is_acknowledged(&world, &departure) {
--- a/crates/coordinator/tests/quarantine.rs
+++ b/crates/coordinator/tests/quarantine.rs
@@ -101,7 +101,7 @@
     assert!(quarantined(&world) >= INITIAL_VOTERS, "the other two engines still count");
 }
 
-/// Routers repeat reports in case one was lost. A repeated sighting that reset the count of
+/// Routers resend reports in case one was lost. A repeated sighting that reset the count of
 /// announcements would keep the quarantine of a running engine.
 #[test]
 fn repeated_sighting_does_not_reset_the_announcement_count() {
--- a/crates/coordinator/tests/replacement.rs
+++ b/crates/coordinator/tests/replacement.rs
@@ -141,11 +141,11 @@
 #[test]
 fn voters_are_spread_over_the_zones_after_a_partition() {
     let mut world = World::with_machines(4, INITIAL_VOTERS);
-    let spare = world.add(0);
+    let standby = world.add(0);
     world.run_for(3_000);
     world.isolate(2);
     world.run_for(10_000);
-    assert!(world.voters().contains(&name(spare)), "no machine of the third zone is connected");
+    assert!(world.voters().contains(&name(standby)), "no machine of the third zone is connected");
     world.heal();
     world.run_for(3_000);
     assert_eq!(world.voters().len(), INITIAL_VOTERS);
--- a/crates/coordinator/tests/replicas.rs
+++ b/crates/coordinator/tests/replicas.rs
@@ -93,8 +93,8 @@
     assert!(world.acknowledged > 0);
     world.stop(0, u64::MAX / 2);
     world.run_for(25_000);
-    let leader = world.machines.iter().filter_map(|machine| machine.replica.as_ref());
-    let voters = leader
+    let replicas = world.machines.iter().filter_map(|machine| machine.replica.as_ref());
+    let voters = replicas
         .filter(|replica| replica.is_leader(Timestamp(world.now)))
         .map(|replica| replica.voters().clone())
         .next()
--- a/crates/coordinator/tests/support/mod.rs
+++ b/crates/coordinator/tests/support/mod.rs
@@ -177,7 +177,6 @@
         new_machine
     }
 
-    /// Drops all messages in flight.
     pub fn drop_messages_in_flight(&mut self) {
         self.in_flight.clear();
     }
@@ -405,8 +404,8 @@
     fn have_all_voters_caught_up(&self, voters: &BTreeSet<Vec<(MachineName, u64)>>) -> bool {
         let listed = voters.iter().flatten();
         listed.into_iter().all(|(voter, _)| {
-            let held = self.machines.iter().find(|machine| machine.name == *voter);
-            let replica = held.and_then(|machine| machine.replica.as_ref());
+            let machine = self.machines.iter().find(|machine| machine.name == *voter);
+            let replica = machine.and_then(|machine| machine.replica.as_ref());
             replica.is_some_and(|replica| {
                 replica.is_voter() && replica.state().document_version() >= self.acknowledged
             })
--- a/crates/mesh/src/connection.rs
+++ b/crates/mesh/src/connection.rs
@@ -34,7 +34,7 @@
     Framed::new(stream, codec)
 }
 
-/// Reads the next frame.
+/// Reads the next frame; fails if none arrives within [`CONNECTION_IDLE_TIMEOUT`].
 pub(crate) async fn next_frame(stream: &mut FrameStream) -> io::Result<Bytes> {
     match timeout(CONNECTION_IDLE_TIMEOUT, stream.next()).await {
         Ok(Some(frame)) => Ok(frame?.freeze()),
--- a/crates/prepaid/src/ledger.rs
+++ b/crates/prepaid/src/ledger.rs
@@ -238,13 +238,13 @@
     /// The most that may have been spent of `tenant`'s budget.
     pub fn issued(&self, tenant: &TenantName) -> Tokens {
         let charged = self.charged.get(tenant).copied().unwrap_or_default();
-        let open: Tokens = self
+        let outstanding: Tokens = self
             .holders
             .values()
             .filter_map(|holder| holder.allotments.get(tenant))
             .map(Allotment::outstanding)
             .sum();
-        charged + open
+        charged + outstanding
     }
 
     /// What may still be allotted.
--- a/crates/prepaid/src/policy.rs
+++ b/crates/prepaid/src/policy.rs
@@ -361,8 +361,8 @@
     }
 }
 
-/// Recalls what a request at another router needs and the pool can't cover, from the routers that
-/// hold most.
+/// Recalls what a waiting request needs and the pool can't cover, from the routers without waiting
+/// requests, those that hold most first.
 fn recall_missing(tenant: &TenantName, missing: Tokens, shares: &[Share<'_>], plan: &mut Plan) {
     let mut idle: Vec<&Share<'_>> =
         shares.iter().filter(|share| share.report.wanted.is_zero()).collect();
--- a/crates/prepaid/src/wallet.rs
+++ b/crates/prepaid/src/wallet.rs
@@ -72,7 +72,6 @@
         };
     }
 
-    /// What is left of the primary.
     fn primary_left(&self) -> Tokens {
         self.allotment.usable_primary() - self.allotment.returned - self.used()
     }
--- a/crates/prepaid/tests/budget_exhaustion.rs
+++ b/crates/prepaid/tests/budget_exhaustion.rs
@@ -4,9 +4,9 @@
 //! of the requests after a loss of power of all machines were served, those to plain services. The
 //! last part of each budget had been granted before the loss, which took what was left in the
 //! routers' primaries; the rest was scattered, a little less than one request needs at each router.
-//! Of 1,051 requests refused for their budgets within five and a half seconds, 510 were cheap ones
-//! that the router's primary of 0 to 1,800 tokens did not cover, while all routers together held up
-//! to 16,700 tokens of the same budget.
+//! Of 1,051 requests refused for their budgets within the last five and a half seconds of a run,
+//! 510 were cheap ones that the router's primary of 0 to 1,800 tokens did not cover, while all
+//! routers together held up to 16,700 tokens of the same budget.
 
 use stackpost_prepaid::*;
 use stackpost_types::*;
@@ -160,7 +160,7 @@
     fleet.power_off_all();
     fleet.exhaust();
     let after = fleet.served.len() - before;
-    // Seven thousandths of the limit are reserved for this, less a rest too small for one request.
+    // The guard is seven thousandths of the limit; a part too small for one request may remain.
     assert!(
         after as u64 >= 7 * LIMIT / 1_000 / CHEAP - 1,
         "{after} requests served after the loss"
@@ -324,8 +324,8 @@
 fn budget_admits_every_request_until_it_is_scarce() {
     let mut wallet = Wallet::default();
     for amount in [12_000, 1_100, 2_400] {
-        let almost_over = Some(BudgetForecast::ExhaustedIn(Millis(500)));
-        assert!(wallet.admits(&tenant(), Tokens(amount), almost_over));
+        let almost_exhausted = Some(BudgetForecast::ExhaustedIn(Millis(500)));
+        assert!(wallet.admits(&tenant(), Tokens(amount), almost_exhausted));
         assert!(wallet.reserve(Timestamp(1_000), &tenant(), Tokens(amount)).is_err());
     }
     assert!(!wallet.admits(&tenant(), Tokens(12_000), Some(BudgetForecast::Scarce)));
@@ -344,7 +344,7 @@
             .get(&tenant())
             .copied()
     };
-    // 983,000 tokens can be granted by demand: 1.7 in 100 are reserved for the end of the budget.
+    // 983,000 tokens can be granted by demand: 1.7 in 100 are set aside for its end.
     assert_eq!(forecast_at(0), None);
     assert_eq!(forecast_at(10_000), None, "98 s");
     assert_eq!(forecast_at(50_000), Some(BudgetForecast::ExhaustedIn(Millis(19_000))));
--- a/crates/storage/src/log_store.rs
+++ b/crates/storage/src/log_store.rs
@@ -3,7 +3,7 @@
 use crate::disk::{Disk, DiskError};
 use crate::record::{self, Framed};
 use serde::{Deserialize, Serialize};
-use stackpost_consensus::{Entry, HardState, LogIndex, RestoredState, Snapshot};
+use stackpost_consensus::{Entry, HardState, RestoredState, Snapshot};
 use thiserror::Error;
 
 const IDENTITY_FILE: &str = "identity";
@@ -179,7 +179,7 @@
 /// place.
 fn drop_entries_covered_by_snapshot(restored: &mut RestoredState) {
     let Snapshot { index, term, .. } = restored.snapshot;
-    let conflicts = restored.entries.iter().any(|held| held.index == index && held.term != term);
+    let conflicts = restored.entries.iter().any(|entry| entry.index == index && entry.term != term);
     restored.entries.retain(|entry| entry.index > index && !conflicts);
     let follows_on = restored.entries.first().is_none_or(|first| first.index == index + 1);
     if !follows_on {
@@ -195,7 +195,7 @@
     format!("{SEGMENT_PREFIX}{generation:012}")
 }
 
-fn generation_of(segment: &str) -> LogIndex {
+fn generation_of(segment: &str) -> u64 {
     segment.trim_start_matches(SEGMENT_PREFIX).parse().unwrap_or_default()
 }
 
--- a/crates/storage/tests/log_store.rs
+++ b/crates/storage/tests/log_store.rs
@@ -94,9 +94,9 @@
     let disk = MemoryDisk::default();
     let mut store = LogStore::create(disk.clone(), 9).expect("created");
     store.append(None, &[entry(1, 1), entry(2, 1), entry(3, 1)]).expect("synced");
-    let foreign = Snapshot { index: 2, term: 5, voters: Voters::new(), data: vec![7] };
+    let conflicting = Snapshot { index: 2, term: 5, voters: Voters::new(), data: vec![7] };
     disk.set_capacity(Some(0));
-    store.install(&foreign, &HardState::default(), &[]).expect_err("full");
+    store.install(&conflicting, &HardState::default(), &[]).expect_err("full");
     disk.set_capacity(None);
     let restored = reopen(&disk);
     assert_eq!((restored.snapshot.term, restored.entries), (5, Vec::new()));
--- a/crates/types/src/names.rs
+++ b/crates/types/src/names.rs
@@ -219,7 +219,7 @@
 }
 
 impl RequestId {
-    /// Parses the 32 hexadecimal digits that `Display` writes.
+    /// Parses hexadecimal digits, as `Display` writes them; fewer than 32 are accepted.
     pub fn parse(text: &str) -> Option<Self> {
         u128::from_str_radix(text, 16).ok().map(Self)
     }
