--- a/crates/bench/src/capacity.rs
+++ b/crates/bench/src/capacity.rs
@@ -11,7 +11,6 @@
 
 /// Zones of the simulated fleet: two regions of three zones each.
 const ZONES: [&str; 6] = ["a", "b", "c", "d", "e", "f"];
-/// Size of a memory page.
 const PAGE_BYTES: u64 = 4_096;
 /// Time between two groups of arrivals, in milliseconds.
 const STEP_MS: u64 = 100;
--- a/crates/bench/src/departures.rs
+++ b/crates/bench/src/departures.rs
@@ -11,10 +11,9 @@
 use stackpost_types::{BackEndName, Millis, Timestamp};
 use std::time::Instant;
 
-/// Number of control processes.
 const CONTROL_PROCESSES: usize = 9;
 /// Time within which all engines are replaced.
-const RELEASE: Millis = Millis(120_000);
+const REPLACEMENT_TIME: Millis = Millis(120_000);
 /// Time between two confirmations by a router.
 const CONFIRM_INTERVAL_MS: u64 = 450;
 /// Time between two rounds in which control processes forward updates received from each other.
@@ -152,7 +151,7 @@
     let started = Instant::now();
     let (mut confirmed_at, mut forwarded_at) = (0, 0);
     for engine in 0..engines {
-        let elapsed_ms = RELEASE.0 * engine as u64 / engines as u64;
+        let elapsed_ms = REPLACEMENT_TIME.0 * engine as u64 / engines as u64;
         let now = START + Millis(elapsed_ms);
         simulation.announce(now, &notice(engine, true));
         simulation.send_updates(now, false);
@@ -167,8 +166,8 @@
             simulation.confirm();
         }
     }
-    simulation.send_updates(START + RELEASE, true);
-    let seconds = RELEASE.0 as f64 / 1e3;
+    simulation.send_updates(START + REPLACEMENT_TIME, true);
+    let seconds = REPLACEMENT_TIME.0 as f64 / 1e3;
     let per_router = simulation.bytes as f64 / routers as f64 / seconds;
     let all_known = simulation.routers.iter().all(|router| {
         router.directory.iter().filter(|record| record.notice.state == EngineState::Ready).count()
--- a/crates/bench/src/rates.rs
+++ b/crates/bench/src/rates.rs
@@ -28,16 +28,12 @@
 const WINDOW: Millis = Millis(4_000);
 /// Time at the start that is left out of the results.
 const WARM_UP: Millis = Millis(3_000);
-/// Size of a datagram's headers.
 const DATAGRAM_HEADER_BYTES: usize = 28;
-/// Size of a permit request without rate statements. This and the next two sizes are those of the
-/// wire encoding with names and numbers as in this benchmark.
+/// Size of a permit request without rate statements. This size and those of a response and of one
+/// statement are those of the wire encoding, with names and numbers as in this benchmark.
 const PERMIT_REQUEST_BYTES: usize = 24;
-/// Size of the response to a permit request.
 const PERMIT_RESPONSE_BYTES: usize = 24;
-/// Size of one rate statement.
 const STATEMENT_BYTES: usize = 34;
-/// Most rate statements in one datagram.
 const STATEMENTS_PER_DATAGRAM: usize = 16;
 
 struct Router {
@@ -175,7 +171,7 @@
         self.count_datagram(PERMIT_REQUEST_BYTES + 3 * STATEMENT_BYTES);
         self.count_datagram(PERMIT_RESPONSE_BYTES);
         let lender_permits = &mut self.routers[lender].permits;
-        let own_address = router_address(lender);
+        let lender_address = router_address(lender);
         let owned = lender_permits.owned();
         let mut owned = owned.iter().map(|engine| self.index_by_name[engine]);
         let engine = owned
@@ -183,7 +179,7 @@
         if let Some(engine) = engine {
             lender_permits.take(now, &self.engines[engine].notice.engine, PermitScope::Rate);
         } else if let Some(wait) = lender_permits.next_owned_permit(now, |_| true) {
-            self.routers[router].permits.on_spent(now, own_address, &self.service, wait);
+            self.routers[router].permits.on_spent(now, lender_address, &self.service, wait);
         }
         engine
     }
@@ -239,9 +235,9 @@
         }
     }
 
-    fn count_datagram(&mut self, content: usize) {
+    fn count_datagram(&mut self, payload_bytes: usize) {
         self.counts.datagrams += 1;
-        self.counts.bytes += (content + DATAGRAM_HEADER_BYTES) as u64;
+        self.counts.bytes += (payload_bytes + DATAGRAM_HEADER_BYTES) as u64;
     }
 
     /// Largest excess, over all engines and windows, of requests in a window beyond one and a half
--- a/crates/bench/src/refusals.rs
+++ b/crates/bench/src/refusals.rs
@@ -28,12 +28,13 @@
 /// Mean number of generated tokens.
 const MEAN_TOKENS: u64 = 150;
 
-/// One scenario of the benchmark.
 struct Scenario {
     name: &'static str,
-    cut: bool,
-    /// Demand of the partitioned zone relative to each other zone, during the partition.
+    partitioned: bool,
+    /// Demand of the first zone relative to each other zone, between the lead-in and the lead-out.
+    /// If `partitioned` is set, this zone is partitioned from the others during that time.
     demand_factor: f64,
+    /// Factor and period, in seconds, of bursts; `None`: a steady rate.
     burst: Option<(f64, u64)>,
     /// Budget as a multiple of the total demand.
     budget_ratio: f64,
@@ -58,49 +59,49 @@
     let scenarios = [
         Scenario {
             name: "connected, steady",
-            cut: false,
+            partitioned: false,
             demand_factor: 1.0,
             burst: None,
             budget_ratio: 2.0,
         },
         Scenario {
             name: "connected, bursts",
-            cut: false,
+            partitioned: false,
             demand_factor: 1.0,
             burst: Some((4.0, 50)),
             budget_ratio: 2.0,
         },
         Scenario {
             name: "connected, runs out",
-            cut: false,
+            partitioned: false,
             demand_factor: 3.0,
             burst: None,
             budget_ratio: 0.9,
         },
         Scenario {
             name: "cut, steady",
-            cut: true,
+            partitioned: true,
             demand_factor: 1.0,
             burst: None,
             budget_ratio: 2.0,
         },
         Scenario {
             name: "cut, threefold there",
-            cut: true,
+            partitioned: true,
             demand_factor: 3.0,
             burst: None,
             budget_ratio: 2.0,
         },
         Scenario {
             name: "cut, bursts",
-            cut: true,
+            partitioned: true,
             demand_factor: 3.0,
             burst: Some((4.0, 50)),
             budget_ratio: 2.0,
         },
         Scenario {
             name: "cut, runs out",
-            cut: true,
+            partitioned: true,
             demand_factor: 3.0,
             burst: None,
             budget_ratio: 0.9,
@@ -163,10 +164,10 @@
     let mut bounds = BTreeMap::new();
     while world.now < started_at + horizon {
         let during_partition = (partition.from..partition.until).contains(&world.now);
-        if scenario.cut && world.now == partition.from {
+        if scenario.partitioned && world.now == partition.from {
             world.cut(Cut::Zone(ZoneName::new(world.shape.zones[0])));
         }
-        if scenario.cut && world.now == partition.until {
+        if scenario.partitioned && world.now == partition.until {
             world.heal();
         }
         let demand = demand_during(scenario, zones, during_partition);
@@ -200,7 +201,7 @@
         false_refusals,
         by_reason,
         even_split: even_split(&arrivals, &limits, zones),
-        central: central_counter(&arrivals, &limits, scenario.cut.then_some(partition)),
+        central: central_counter(&arrivals, &limits, scenario.partitioned.then_some(partition)),
         overspend,
         other_violations: violations.len() - overspend,
     }
--- a/crates/cli/src/client.rs
+++ b/crates/cli/src/client.rs
@@ -10,11 +10,9 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// Timeout of one request.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(6);
 /// Time during which an edit is retried before its outcome is reported as unknown.
 const EDIT_TIMEOUT: Duration = Duration::from_secs(15);
-/// Delay before an edit is retried.
 const EDIT_RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// Sends an operator's requests to the fleet's processes.
--- a/crates/cli/src/commands/edit.rs
+++ b/crates/cli/src/commands/edit.rs
@@ -65,7 +65,6 @@
     }
 }
 
-/// Describes the outcome of an edit.
 pub(crate) fn describe_outcome(label: &str, view: &EditView) -> String {
     match view {
         EditView::Accepted { version, recall: None } => format!("{label}: version {version}"),
--- a/crates/cli/src/commands/file.rs
+++ b/crates/cli/src/commands/file.rs
@@ -10,7 +10,6 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// One row of a file.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct FileRow {
@@ -19,7 +18,6 @@
     pub row: Value,
 }
 
-/// The rows of a file.
 #[derive(Debug, Deserialize)]
 #[serde(transparent)]
 pub(crate) struct RowFile(pub Vec<FileRow>);
--- a/crates/cli/src/commands/table.rs
+++ b/crates/cli/src/commands/table.rs
@@ -12,7 +12,6 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Runs a subcommand of `table`.
 pub(crate) async fn run(context: &Context, matches: &ArgMatches) -> Result<ExitCode, CommandError> {
     match matches.subcommand() {
         Some(("show", inner)) => show(context, inner).await,
--- a/crates/e2e/src/fleet.rs
+++ b/crates/e2e/src/fleet.rs
@@ -26,7 +26,6 @@
 pub const ROUTERS: [&str; 4] = ["a-1", "a-2", "b-1", "b-2"];
 /// The machines with a control replica.
 const REPLICAS: [&str; 3] = ["a-1", "a-2", "b-1"];
-/// The operator's API key.
 const OPERATOR_KEY: &str = "operator-key";
 /// Longest wait for any condition.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
--- a/crates/e2e/src/records.rs
+++ b/crates/e2e/src/records.rs
@@ -10,7 +10,7 @@
 pub struct JournalEntry {
     /// Kind of the event.
     pub event: String,
-    /// Id of the request.
+    /// Id of the request, or the fencing token of the order.
     pub subject: String,
     /// Tokens of the prompt.
     pub prompt_tokens: u64,
--- a/crates/e2e/tests/callers.rs
+++ b/crates/e2e/tests/callers.rs
@@ -159,7 +159,7 @@
 }
 
 #[tokio::test]
-async fn a_disconnect_mid_stream_cancels_and_bills_the_generated() {
+async fn a_disconnect_mid_stream_cancels_and_bills_the_generated_tokens() {
     let fleet = Fleet::start_with(104, &["--token-us", "10000"]).await;
     let client = Client::unpooled();
     let api_request = ApiRequest::chat(fleet.api("a-1"), "long", 2_000, true);
--- a/crates/e2e/tests/engines.rs
+++ b/crates/e2e/tests/engines.rs
@@ -21,8 +21,8 @@
                 .await;
         let entry = fleet.journal_of(&request_id).pop().expect("a journal line of the engine");
         let generated = entry.prompt_tokens + 20;
-        // The bytes of the prompt bound its tokens: "user\n" + "count tokens=20" + "\n" + 16. The
-        // 30 allowed tokens are added.
+        // The bytes of the prompt bound its tokens: "user\n" + "count tokens=20" + "\n", and 16
+        // for the chat template. The 30 allowed tokens are added.
         let bound = 5 + 15 + 1 + 16 + 30;
         match mode {
             "high" => {
@@ -79,7 +79,6 @@
     assert_eq!(started, 2);
 }
 
-/// Number of engines in the fleet.
 const ENGINES: usize = 2;
 /// Backoff that every engine asks for, in seconds: longer than the test.
 const BACKOFF_SECONDS: u64 = 60;
--- a/crates/e2e/tests/faults.rs
+++ b/crates/e2e/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of real processes: killed, stopped, frozen, or restarted without their data folder.
+//! Faults of real processes: killed, terminated, suspended, or restarted without their data folder.
 
 use http_body_util::BodyExt;
 use rustix::process::Signal;
@@ -89,7 +89,7 @@
 }
 
 #[tokio::test]
-async fn a_frozen_leader_is_replaced_and_catches_up_after_thawing() {
+async fn a_suspended_leader_is_replaced_and_catches_up_after_it_resumes() {
     let fleet = Fleet::start(114).await;
     let leader = fleet.leader().await;
     fleet.signal(&format!("control-{leader}"), Signal::STOP);
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -15,7 +15,6 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
 /// Idle connections are closed after this time. It is shorter than the servers' own idle timeout,
 /// so that a request is not sent on a connection that the server is closing.
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -47,15 +47,15 @@
 
     /// Reads the complete body; an error if it has more than `limit` bytes.
     pub async fn read_all(&mut self, limit: usize) -> Result<Bytes, BodyError> {
-        let mut whole = Vec::new();
+        let mut body = Vec::new();
         while let Some(chunk) = self.next().await {
             let chunk = chunk?;
-            if whole.len() + chunk.len() > limit {
+            if body.len() + chunk.len() > limit {
                 return Err(BodyError::TooLarge);
             }
-            whole.extend_from_slice(&chunk);
+            body.extend_from_slice(&chunk);
         }
-        Ok(whole.into())
+        Ok(body.into())
     }
 }
 
@@ -187,7 +187,7 @@
                 log::error!("HTTP server stopped: {error}");
             }
         }),
-        Err(error) => log::error!("start of the HTTP server's runtime failed: {error}"),
+        Err(error) => log::error!("failed to start the runtime of the HTTP server: {error}"),
     }
 }
 
--- a/crates/http/src/watch.rs
+++ b/crates/http/src/watch.rs
@@ -91,7 +91,7 @@
             Ok(socket) => {
                 self.lock().insert(peer, Arc::new(socket));
             }
-            Err(error) => log::warn!("watch of the connection from {peer} failed: {error}"),
+            Err(error) => log::warn!("failed to watch the connection from {peer}: {error}"),
         }
     }
 
--- a/crates/load/src/main.rs
+++ b/crates/load/src/main.rs
@@ -1,5 +1,5 @@
 //! `stackpost-load`: sends single requests or open-loop load, and compares the router with direct
-//! calls of the same back end.
+//! calls of the same engine.
 
 mod arguments;
 mod compare;
--- a/crates/standins/src/cache.rs
+++ b/crates/standins/src/cache.rs
@@ -14,7 +14,7 @@
     capacity: usize,
     lag: Duration,
     cached: HashSet<BlockHash>,
-    order: VecDeque<BlockHash>,
+    insertion_order: VecDeque<BlockHash>,
     events: VecDeque<(Instant, CacheChange)>,
     first_kept_event: u64,
 }
@@ -44,7 +44,7 @@
             capacity,
             lag,
             cached: HashSet::new(),
-            order: VecDeque::new(),
+            insertion_order: VecDeque::new(),
             events: VecDeque::new(),
             first_kept_event: 0,
         }
@@ -55,12 +55,12 @@
         let hits = blocks.iter().take_while(|block| self.cached.contains(block)).count();
         for block in blocks {
             if self.cached.insert(*block) {
-                self.order.push_back(*block);
+                self.insertion_order.push_back(*block);
                 self.push_event(CacheChange::Stored(*block));
             }
         }
-        while self.order.len() > self.capacity {
-            if let Some(oldest) = self.order.pop_front() {
+        while self.insertion_order.len() > self.capacity {
+            if let Some(oldest) = self.insertion_order.pop_front() {
                 self.cached.remove(&oldest);
                 self.push_event(CacheChange::Removed(oldest));
             }
@@ -85,7 +85,7 @@
     /// Content of the whole cache.
     pub fn content(&self) -> CacheContent {
         let next = self.first_kept_event + self.events.len() as u64;
-        CacheContent { next, blocks: self.order.iter().copied().collect() }
+        CacheContent { next, blocks: self.insertion_order.iter().copied().collect() }
     }
 
     fn push_event(&mut self, change: CacheChange) {
--- a/crates/standins/src/engine.rs
+++ b/crates/standins/src/engine.rs
@@ -61,7 +61,7 @@
 #[derive(Default)]
 struct Usages {
     by_request: HashMap<String, (u64, u64)>,
-    order: VecDeque<String>,
+    insertion_order: VecDeque<String>,
 }
 
 impl Engine {
@@ -92,10 +92,10 @@
         let mut usages = self.usages.lock().unwrap_or_else(PoisonError::into_inner);
         let usage = (plan.prompt_tokens, generated);
         if usages.by_request.insert(request.to_string(), usage).is_none() {
-            usages.order.push_back(request.to_string());
+            usages.insertion_order.push_back(request.to_string());
         }
-        if usages.order.len() > MAX_KEPT_USAGES
-            && let Some(oldest) = usages.order.pop_front()
+        if usages.insertion_order.len() > MAX_KEPT_USAGES
+            && let Some(oldest) = usages.insertion_order.pop_front()
         {
             usages.by_request.remove(&oldest);
         }
--- a/crates/standins/src/load.rs
+++ b/crates/standins/src/load.rs
@@ -5,7 +5,6 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Most samples kept.
 const MAX_SAMPLES: usize = 1_000;
 
 /// Counts running and waiting requests, and reports the counts with a delay.
--- a/crates/standins/src/plain.rs
+++ b/crates/standins/src/plain.rs
@@ -31,7 +31,7 @@
 }
 
 /// Handles one request. The query parameters `delay_ms`, `status` and `bytes` set the delay, the
-/// status and the length of the response.
+/// status and the length of the response; with `bytes` the status is always 200.
 pub async fn handle(service: Arc<PlainService>, mut exchange: Exchange) -> Answer {
     if exchange.uri.path() == "/v1/engine/load" {
         return Answer::json(StatusCode::OK, &service.load.report());
--- a/crates/telemetry/src/json_lines.rs
+++ b/crates/telemetry/src/json_lines.rs
@@ -61,7 +61,7 @@
 }
 
 impl JsonLines {
-    /// Starts the writer thread. Every line carries `process` and `machine`.
+    /// Starts the thread that writes to `output`. Every line carries `process` and `machine`.
     pub fn start(
         process: &str,
         machine: &str,
