--- a/crates/gateway-core/src/account_owners.rs
+++ b/crates/gateway-core/src/account_owners.rs
@@ -1,9 +1,9 @@
 //! Which router of a zone owns the zone's account of a tenant's budget.
 //!
-//! A single router receives a tenant's requests too rarely to hold tokens for it: spread over many
-//! routers, the rest of a budget is in parts none of which covers a request. So each tenant has one
-//! *owner* in each zone, by rendezvous hashing over the zone's routers, and the other routers
-//! reserve tokens there. A partitioned zone has owners of its own.
+//! A single router receives a tenant's requests too rarely to hold tokens for it: what is left of a
+//! budget would be split over many routers into parts none of which covers a request. So each
+//! tenant has one *owner* in each zone, by rendezvous hashing over the zone's routers, and the
+//! other routers reserve tokens there. A partitioned zone has owners of its own.
 //!
 //! Routers may briefly disagree about the owner. Each of two owners spends only what the ledger has
 //! allotted to it, so only the number of accounts depends on it.
--- a/crates/gateway-core/src/backoff.rs
+++ b/crates/gateway-core/src/backoff.rs
@@ -15,8 +15,8 @@
 use std::collections::{HashMap, HashSet};
 
 /// Time between two requests to an engine after its backoff, until it has accepted one. An engine
-/// with capacity responds within two round trips and the time of a request, so one that still has
-/// none gets at most ten requests per second.
+/// with capacity responds within two round trips and the time of a request; one that still has none
+/// gets at most ten requests per second.
 const PROBE_INTERVAL: Millis = Millis(100);
 
 #[derive(Clone, Copy, Debug)]
@@ -26,14 +26,14 @@
     probed_at: Option<Timestamp>,
 }
 
-/// Backoffs and departures that the engines have requested from one router.
+/// Backoffs and departures of engines, as stated in their responses to one router.
 #[derive(Clone, Debug, Default)]
 pub struct BackoffTracker {
     backoffs: HashMap<BackEndName, Backoff>,
     leaving: HashSet<BackEndName>,
 }
 
-/// How a backoff request changed an engine's backoff.
+/// How a backoff directive changed an engine's backoff.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BackoffChange {
     /// Whether the engine was not backing off before.
@@ -87,7 +87,7 @@
         self.backoffs.contains_key(engine)
     }
 
-    /// Whether an engine has said that it is leaving.
+    /// Whether an engine has announced in a response that it is leaving.
     pub fn is_leaving(&self, engine: &BackEndName) -> bool {
         self.leaving.contains(engine)
     }
--- a/crates/gateway-core/src/config.rs
+++ b/crates/gateway-core/src/config.rs
@@ -170,10 +170,10 @@
 impl RoutingConfig {
     /// Checks the rules that the types do not enforce.
     pub fn validate(&self) -> Result<(), ConfigError> {
-        let mut places = BTreeSet::new();
+        let mut seen = BTreeSet::new();
         for route in &self.routes {
             self.validate_route(route)?;
-            if !places.insert((route.host.as_str(), route.path_prefix.as_str())) {
+            if !seen.insert((route.host.as_str(), route.path_prefix.as_str())) {
                 return Err(ConfigError::DuplicateRoute {
                     host: route.host.clone(),
                     path_prefix: route.path_prefix.clone(),
--- a/crates/gateway-core/src/crash_tracker.rs
+++ b/crates/gateway-core/src/crash_tracker.rs
@@ -16,7 +16,7 @@
 //!
 //! A request that crashes engines never succeeds. So one that has succeeded recently is no suspect
 //! here, whatever other sightings there are, and the leader is notified: a quarantined request is
-//! rejected, so no later attempt could show that it is harmless.
+//! refused, so no later attempt could show that it is harmless.
 
 use crate::fingerprint::RequestFingerprint;
 use crate::quarantine::{
@@ -26,11 +26,11 @@
 use stackpost_types::{BackEndName, Millis, Timestamp};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Time for which own sightings count while disconnected from the leader. Ten times the time until
-/// a retry of a request arrived that crashed one engine per second.
+/// Time for which own sightings count while disconnected from the leader. Ten times the interval at
+/// which a request that crashed one engine per second was retried.
 const SIGHTING_TTL: Millis = Millis(10_000);
-/// Time for which own sightings count while connected to the leader: several times the time for the
-/// way to the leader, its commit and the way back, including an election of 0.7 s.
+/// Time for which own sightings count while connected to the leader: several times what a report to
+/// the leader, its commit and the resulting notice take, including an election of 0.7 s.
 const CONNECTED_SIGHTING_TTL: Millis = Millis(2_000);
 /// Time within which the leader revokes sightings of engines that still run: two announcements of
 /// an engine (one per 1.2 s), and as much again. Callers of a request that was quarantined less
@@ -191,8 +191,8 @@
         }
     }
 
-    /// Sightings that have not been sent to other routers while disconnected from the leader.
-    /// Counts as sent.
+    /// Sightings to send to other routers while disconnected from the leader, without those already
+    /// sent. Counts as sent.
     pub fn take_peer_sightings(&mut self, now: Timestamp) -> Vec<(CrashSighting, Millis)> {
         let mut sightings = Vec::new();
         for tracked in self.tracked.iter_mut().filter(|tracked| !tracked.sent_to_peers) {
--- a/crates/gateway-core/src/departures.rs
+++ b/crates/gateway-core/src/departures.rs
@@ -168,7 +168,7 @@
         self.revision
     }
 
-    /// Merges a delta. If it does not connect to the known revision, its records apply but the
+    /// Merges a delta. If it does not build on the known revision, its records apply but the
     /// revision stays, so that the missing changes are sent again.
     pub fn merge_delta(&mut self, now: Timestamp, delta: &DepartureDelta) {
         for record in &delta.records {
--- a/crates/gateway-core/src/directory.rs
+++ b/crates/gateway-core/src/directory.rs
@@ -12,10 +12,10 @@
 //! Departures of engines are also committed by the control replicas ([`crate::Departures`]) and
 //! take effect here whether or not the announcement itself was received.
 //!
-//! Two engines may claim one address: an engine that has ended and its successor. The former may be
-//! received last, since announcements can be delayed by a partition. An engine that was not known
-//! yet takes the address over; the other one reclaims it by continuing to announce itself while the
-//! new one does not.
+//! Two engines may claim one address: an engine that has ended and its successor. The announcement
+//! of the former may be received last, since a partition can delay announcements. An engine that
+//! was not known yet takes the address over; the other one reclaims it by continuing to announce
+//! itself while the new one does not.
 
 use crate::departures::DepartureRecord;
 use crate::engine_notice::{DirectoryDelta, EngineNotice, EngineState, MergeOutcome};
--- a/crates/gateway-core/src/engine_health.rs
+++ b/crates/gateway-core/src/engine_health.rs
@@ -17,7 +17,7 @@
 /// Number of the newest requests to an engine whose send times are kept.
 const MAX_RECENT_SENDS: usize = 64;
 
-/// Outcome of one router's requests to an engine.
+/// The outcomes of one router's requests to an engine.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct EngineHealth {
     /// Requests of this router that are in flight there.
@@ -29,13 +29,12 @@
     /// End of the ejection.
     pub ejected_until: Option<Timestamp>,
     /// When the engine last responded.
-    pub answered_at: Option<Timestamp>,
+    pub responded_at: Option<Timestamp>,
     /// Send times of the newest requests, newest last.
     recent_sends: VecDeque<Timestamp>,
 }
 
 impl EngineHealth {
-    /// Records that a request is sent.
     pub fn on_sent(&mut self, now: Timestamp) {
         self.in_flight += 1;
         if self.recent_sends.len() == MAX_RECENT_SENDS {
--- a/crates/gateway-core/src/engine_load.rs
+++ b/crates/gateway-core/src/engine_load.rs
@@ -71,7 +71,7 @@
     /// Weight of the router's streams that run there.
     pub running: f32,
     /// Tokens to prefill that were sent there since the last update.
-    pub pending_prefill: u32,
+    pub new_prefill: u32,
     /// Time, in milliseconds, for which their prefill stalls streams there, counting only prefills
     /// long enough to miss the gap objective.
     pub long_prefill_ms: u32,
@@ -102,7 +102,7 @@
 #[derive(Clone, Copy, Debug)]
 struct PendingPrefill {
     sent_watermark: f64,
-    pending_prefill: f64,
+    prompt_prefill: f64,
     expected_at: Timestamp,
 }
 
@@ -110,7 +110,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct EngineLoad {
     pending_prefill: f64,
-    to_read_at: Timestamp,
+    pending_prefill_at: Timestamp,
     /// All tokens that were ever sent to be prefilled.
     sent: f64,
     /// Tokens recently sent to be prefilled, with exponential decay.
@@ -133,7 +133,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PlacementEstimate {
     /// Tokens of this prompt that the engine has to prefill.
-    pub pending_prefill: f64,
+    pub prompt_prefill: f64,
     /// Tokens of earlier prompts that it has to prefill first.
     pub queued_prefill: f64,
     /// Time to the first event, in milliseconds.
@@ -155,8 +155,9 @@
     /// Tokens left to prefill: those not yet worked off by the elapsed time, but at least those of
     /// this router's own requests without a first event.
     pub fn pending_prefill(&self, now: Timestamp, typical_speed: Option<f64>) -> f64 {
-        let prefilled = now.since(self.to_read_at).0 as f64 * self.prefill_speed(typical_speed);
-        let outstanding: f64 = self.pending.iter().map(|pending| pending.pending_prefill).sum();
+        let prefilled =
+            now.since(self.pending_prefill_at).0 as f64 * self.prefill_speed(typical_speed);
+        let outstanding: f64 = self.pending.iter().map(|pending| pending.prompt_prefill).sum();
         (self.pending_prefill - prefilled).max(outstanding)
     }
 
@@ -199,21 +200,21 @@
     ) -> PlacementEstimate {
         let prefill_speed = self.prefill_speed(typical_speed);
         let shared = if cached { 0.0 } else { work.shared.0 as f64 };
-        let pending_prefill = work.own.0 as f64 + shared;
+        let prompt_prefill = work.own.0 as f64 + shared;
         let queued_prefill = self.pending_prefill(now, typical_speed);
         let recent = self.recently_sent(now).max(queued_prefill);
         let overdue = self.overdue(now).0 as f64;
         PlacementEstimate {
-            pending_prefill,
+            prompt_prefill,
             queued_prefill,
             first_event_ms: FIRST_EVENT_OVERHEAD_MS
-                + (queued_prefill + pending_prefill) / prefill_speed
+                + (queued_prefill + prompt_prefill) / prefill_speed
                 + overdue,
             prefill_before_ms: recent / prefill_speed,
-            prefill_ms: (recent + pending_prefill) / prefill_speed,
+            prefill_ms: (recent + prompt_prefill) / prefill_speed,
             running: self.running(now),
             long_prefill_share: self.long_prefill_share(now),
-            sent_watermark: self.sent + pending_prefill,
+            sent_watermark: self.sent + prompt_prefill,
         }
     }
 
@@ -221,16 +222,16 @@
     pub fn on_sent(&mut self, now: Timestamp, typical_speed: Option<f64>, sent: &Placement) {
         let (work, estimate) = (&sent.work, &sent.estimate);
         let stall_ms = long_prefill(estimate.prefill_ms, work.gap_objective);
-        self.add(now, typical_speed, estimate.pending_prefill, stall_ms);
+        self.add(now, typical_speed, estimate.prompt_prefill, stall_ms);
         self.own_running += work.weight();
         let expected_at = now + Millis(estimate.first_event_ms as u64);
         self.pending.push(PendingPrefill {
             sent_watermark: estimate.sent_watermark,
-            pending_prefill: estimate.pending_prefill,
+            prompt_prefill: estimate.prompt_prefill,
             expected_at,
         });
-        self.unreported.pending_prefill =
-            self.unreported.pending_prefill.saturating_add(estimate.pending_prefill as u32);
+        self.unreported.new_prefill =
+            self.unreported.new_prefill.saturating_add(estimate.prompt_prefill as u32);
         self.unreported.long_prefill_ms =
             self.unreported.long_prefill_ms.saturating_add(stall_ms as u32);
         if let Some(prefix_hash) = sent.prefix_hash {
@@ -254,9 +255,9 @@
         self.remove_pending(estimate);
         let sent_since = (self.sent - estimate.sent_watermark).max(0.0);
         if sent_since < self.pending_prefill {
-            self.set_to_read(now, sent_since);
+            self.set_pending_prefill(now, sent_since);
         }
-        let prefilled = estimate.queued_prefill + estimate.pending_prefill;
+        let prefilled = estimate.queued_prefill + estimate.prompt_prefill;
         if prefilled < MIN_SPEED_SAMPLE_TOKENS {
             return None;
         }
@@ -266,8 +267,8 @@
         Some(measured)
     }
 
-    /// Records the end of a request.
-    pub fn on_request_end(&mut self, work: &GenerationWork, estimate: &PlacementEstimate) {
+    /// Records the end of an attempt.
+    pub fn on_attempt_end(&mut self, work: &GenerationWork, estimate: &PlacementEstimate) {
         self.remove_pending(estimate);
         let remaining = self.own_running - work.weight();
         // Adding and subtracting fractions leaves a rounding error, which is no stream.
@@ -285,7 +286,7 @@
         self.add(
             now,
             typical_speed,
-            f64::from(update.pending_prefill),
+            f64::from(update.new_prefill),
             f64::from(update.long_prefill_ms),
         );
         for prefix in &update.prefixes {
@@ -325,12 +326,12 @@
     /// Whether this engine needs an update to other routers: this router has streams there, its
     /// last one has just ended, or there are unreported tokens.
     pub fn has_update(&self) -> bool {
-        self.own_running > 0.0 || self.reported_running > 0.0 || self.unreported.pending_prefill > 0
+        self.own_running > 0.0 || self.reported_running > 0.0 || self.unreported.new_prefill > 0
     }
 
     /// Tokens to prefill that have not been reported to other routers.
     pub fn unreported(&self) -> Tokens {
-        Tokens(u64::from(self.unreported.pending_prefill))
+        Tokens(u64::from(self.unreported.new_prefill))
     }
 
     fn remove_pending(&mut self, estimate: &PlacementEstimate) {
@@ -343,25 +344,19 @@
         }
     }
 
-    fn add(
-        &mut self,
-        now: Timestamp,
-        typical_speed: Option<f64>,
-        pending_prefill: f64,
-        stall_ms: f64,
-    ) {
+    fn add(&mut self, now: Timestamp, typical_speed: Option<f64>, new_prefill: f64, stall_ms: f64) {
         let remaining = self.pending_prefill(now, typical_speed);
-        self.set_to_read(now, remaining + pending_prefill);
-        self.sent += pending_prefill;
-        self.recently_sent = self.recently_sent(now) + pending_prefill;
+        self.set_pending_prefill(now, remaining + new_prefill);
+        self.sent += new_prefill;
+        self.recently_sent = self.recently_sent(now) + new_prefill;
         self.recently_sent_at = now;
         self.long_prefill_ms = self.long_prefill_remaining(now) + stall_ms;
         self.long_prefill_at = now;
     }
 
-    fn set_to_read(&mut self, now: Timestamp, pending_prefill: f64) {
+    fn set_pending_prefill(&mut self, now: Timestamp, pending_prefill: f64) {
         self.pending_prefill = pending_prefill.max(0.0);
-        self.to_read_at = now;
+        self.pending_prefill_at = now;
     }
 
     fn recently_sent(&self, now: Timestamp) -> f64 {
--- a/crates/gateway-core/src/engine_permits.rs
+++ b/crates/gateway-core/src/engine_permits.rs
@@ -59,7 +59,7 @@
     /// Owners computed from the currently known routers.
     owners: HashMap<BackEndName, SocketAddr>,
     /// Until when other owners have no permits to issue, as they have reported.
-    spent_until: HashMap<(SocketAddr, ServiceName), Timestamp>,
+    exhausted_until: HashMap<(SocketAddr, ServiceName), Timestamp>,
     knows_routers: bool,
 }
 
@@ -71,7 +71,7 @@
             rates: StatedRates::default(),
             buckets: HashMap::new(),
             owners: HashMap::new(),
-            spent_until: HashMap::new(),
+            exhausted_until: HashMap::new(),
             knows_routers: false,
         }
     }
@@ -91,7 +91,7 @@
         for engine in &limited {
             self.bucket(now, engine);
         }
-        self.spent_until.retain(|(owner, _), _| others.contains(owner));
+        self.exhausted_until.retain(|(owner, _), _| others.contains(owner));
     }
 
     /// The slot shares and the other routers.
@@ -271,8 +271,8 @@
         }
         let owner = self.owner(name);
         let key = owner.map(|owner| (owner, engine.notice.service.clone()));
-        let spent_until = key.and_then(|key| self.spent_until.get(&key).copied());
-        Some(spent_until.unwrap_or_default().since(now))
+        let exhausted_until = key.and_then(|key| self.exhausted_until.get(&key).copied());
+        Some(exhausted_until.unwrap_or_default().since(now))
     }
 
     /// Time until this router can issue a permit for one of the engines for which `is_relevant`
@@ -307,7 +307,7 @@
         service: &ServiceName,
         wait: Millis,
     ) {
-        self.spent_until.insert((owner, service.clone()), now + wait);
+        self.exhausted_until.insert((owner, service.clone()), now + wait);
     }
 
     /// Removes engines that the directory no longer knows, so that the memory is bounded by the
--- a/crates/gateway-core/src/load_shedding.rs
+++ b/crates/gateway-core/src/load_shedding.rs
@@ -5,7 +5,7 @@
 //! capacity is allocated anew: a minimum for every priority, so that none starves, and the
 //! remainder to the higher priorities first; within one priority tenants get equal shares up to
 //! their demand. Each class has a probability with which its requests are admitted, decided by
-//! the hash of the request; the others are rejected before any work is done for them.
+//! the hash of the request; the others are refused before any work is done for them.
 //!
 //! The capacity is the rate of permits this router got recently plus some headroom, so that it
 //! discovers when more is available, and at least the rate it owns.
@@ -47,8 +47,7 @@
     arrived: u32,
     /// Smoothed requests per second.
     rate: f64,
-    /// The probability with which a request is admitted.
-    share: f64,
+    admission_probability: f64,
 }
 
 /// Demand for one service.
@@ -63,7 +62,7 @@
     capacity: f64,
     allocated_at: Timestamp,
     shedding_until: Timestamp,
-    /// When the last of the rejected callers is due to retry.
+    /// When the last of the refused callers is due to retry.
     last_retry_at: Timestamp,
 }
 
@@ -88,9 +87,9 @@
         let demand =
             self.services.entry(service.clone()).or_insert_with(|| ServiceDemand::new(now));
         demand.allocate_if_due(now, owned);
-        let share = demand.count(class);
+        let admission_probability = demand.count(class);
         now >= demand.shedding_until
-            || (request_hash % HASH_RANGE) as f64 <= share * HASH_RANGE as f64
+            || (request_hash % HASH_RANGE) as f64 <= admission_probability * HASH_RANGE as f64
     }
 
     /// Records that a request of a service got a permit.
@@ -107,8 +106,8 @@
         }
     }
 
-    /// The time after which a caller who is rejected now should retry: not before the first permit
-    /// is available (`soonest`), after the callers that were rejected before at the rate of the
+    /// The time after which a caller who is refused now should retry: not before the first permit
+    /// is available (`soonest`), after the callers that were refused before, at the rate of the
     /// permits, and no later than is useful to the caller (`latest`). If that is exceeded, the
     /// caller retries at a time in the second half of `latest` that depends on `request_hash`.
     pub fn retry_delay(
@@ -157,10 +156,10 @@
         let counted =
             if is_full { self.classes.last_key_value().map(|(last, _)| last) } else { None };
         let class = counted.cloned().unwrap_or_else(|| class.clone());
-        let initial = ClassDemand { share: 1.0, ..ClassDemand::default() };
+        let initial = ClassDemand { admission_probability: 1.0, ..ClassDemand::default() };
         let demand = self.classes.entry(class).or_insert(initial);
         demand.arrived += 1;
-        demand.share
+        demand.admission_probability
     }
 
     fn allocate_if_due(&mut self, now: Timestamp, owned: RequestRate) {
@@ -212,6 +211,6 @@
         let portion = (granted / unserved as f64).min(demand.rate);
         granted -= portion;
         unserved -= 1;
-        demand.share = if demand.rate > 0.0 { portion / demand.rate } else { 1.0 };
+        demand.admission_probability = if demand.rate > 0.0 { portion / demand.rate } else { 1.0 };
     }
 }
--- a/crates/gateway-core/src/picker.rs
+++ b/crates/gateway-core/src/picker.rs
@@ -49,9 +49,10 @@
     BackoffRequested,
     /// No connection could be established.
     Unreachable,
-    /// The connection was interrupted or the response was invalid.
+    /// The connection was interrupted, or the response was invalid or not received in time.
     Interrupted,
-    /// The caller disconnected or the deadline passed; this shows nothing about the engine.
+    /// The caller disconnected, the deadline passed or the request was not sent; this shows nothing
+    /// about the engine.
     Abandoned,
 }
 
@@ -270,7 +271,7 @@
     }
 
     /// Records that a request is sent to an engine.
-    pub fn on_start(&mut self, now: Timestamp, engine: &BackEndName, sent: Option<&Placement>) {
+    pub fn on_sent(&mut self, now: Timestamp, engine: &BackEndName, sent: Option<&Placement>) {
         self.backoff.on_sent(now, engine);
         self.engines.entry(engine.clone()).or_default().on_sent(now);
         if let Some(sent) = sent {
@@ -333,7 +334,7 @@
     }
 
     /// Records the end of an attempt at an engine.
-    pub fn on_request_end(
+    pub fn on_attempt_end(
         &mut self,
         now: Timestamp,
         engine: &EngineRecord,
@@ -341,7 +342,7 @@
         end: AttemptEnd,
     ) {
         if let (Some(sent), Some(load)) = (sent, self.loads.get_mut(&engine.notice.engine)) {
-            load.on_request_end(&sent.work, &sent.estimate);
+            load.on_attempt_end(&sent.work, &sent.estimate);
         }
         let zone = engine.notice.zone.clone();
         let health = self.engines.entry(engine.notice.engine.clone()).or_default();
@@ -363,7 +364,7 @@
             | AttemptEnd::EngineError
             | AttemptEnd::Full
             | AttemptEnd::BackoffRequested => {
-                health.answered_at = Some(now);
+                health.responded_at = Some(now);
                 self.zones.remove(&zone);
             }
             AttemptEnd::Interrupted | AttemptEnd::Abandoned => {}
@@ -422,8 +423,8 @@
         if failing || zone.is_some_and(|zone| avoided(zone.avoided_until)) {
             return Standing::Failing;
         }
-        let answered_at = health.and_then(|health| health.answered_at);
-        let trusted = answered_at.is_some_and(|at| now.since(at) < RESPONSE_TRUST_TIME);
+        let responded_at = health.and_then(|health| health.responded_at);
+        let trusted = responded_at.is_some_and(|at| now.since(at) < RESPONSE_TRUST_TIME);
         if silent && !trusted { Standing::Silent } else { Standing::Good }
     }
 
--- a/crates/gateway-core/src/placement.rs
+++ b/crates/gateway-core/src/placement.rs
@@ -2,8 +2,9 @@
 //!
 //! Three kinds of cost are estimated for each engine: to the request, which may start late or be
 //! stalled by others; to the running streams, which are stalled while its prompt is prefilled; and
-//! to all, by recomputing a prefix that another engine has cached. All of them are counted in late
-//! requests, weighted by request. For the weights see docs/DECISIONS.md.
+//! to all, by recomputing a prefix that another engine has cached. In addition, the time of prefill
+//! itself has a cost, so that idle engines are preferred. All costs are counted in late requests,
+//! weighted by request. For the weights see docs/DECISIONS.md.
 
 use crate::engine_load::{GenerationWork, PlacementEstimate};
 use stackpost_types::Millis;
--- a/crates/gateway-core/src/quarantine.rs
+++ b/crates/gateway-core/src/quarantine.rs
@@ -5,7 +5,8 @@
 //! router. So crash sightings are collected for the whole fleet by request content, and a request
 //! that was running on [`CRASHES_TO_QUARANTINE`] engines when they crashed is quarantined.
 //!
-//! Every request that ran beside it saw the same engine crash. Three rules tell them apart:
+//! Every request that ran on the engine at that time saw the same crash. Three rules tell them
+//! apart:
 //! - An engine that continues to announce itself has not crashed; sightings at it are revoked.
 //! - A request that has succeeded is not the cause, however many crashes it was near; it is
 //!   cleared.
@@ -29,8 +30,8 @@
 /// Maximum number of requests kept. Each crashed engine adds the requests that ran there, some
 /// dozens; with the names of engines this is about 200 KB.
 pub const MAX_SUSPECTS: usize = 2_048;
-/// First quarantine of a request. Each release may cost an engine, and a copy that is in flight
-/// beside it another one; a harmless request is cleared earlier by any of its retries that
+/// First quarantine of a request. Each release may cost an engine, and another one if a second copy
+/// is in flight at the same time; a harmless request is cleared earlier by any of its retries that
 /// succeeds.
 pub const INITIAL_QUARANTINE: Millis = Millis(300_000);
 /// Limit on the doublings of the quarantine: 160 minutes.
--- a/crates/gateway-core/tests/backoff.rs
+++ b/crates/gateway-core/tests/backoff.rs
@@ -73,7 +73,7 @@
     let after = Timestamp(1_500);
     for _ in ENGINES {
         let engine = pick(&picker, after, &directory).expect("an engine that was not probed yet");
-        picker.on_start(after, &engine, None);
+        picker.on_sent(after, &engine, None);
     }
     assert_eq!(pick(&picker, after, &directory), None, "each engine has been probed once");
     // Accepting a request sent before the backoff does not end the probing; one sent after it does.
@@ -138,7 +138,7 @@
                     picker.on_backoff(now, &ENGINES[engine].into(), Millis(duration));
                     ends[engine] = ends[engine].max(now + Millis(duration));
                 }
-                Event::Sent(engine) => picker.on_start(now, &ENGINES[engine].into(), None),
+                Event::Sent(engine) => picker.on_sent(now, &ENGINES[engine].into(), None),
                 Event::Accepted(engine) => picker.on_accepted(&ENGINES[engine].into(), now),
                 Event::TimePasses(time) => now = now + Millis(time),
             }
--- a/crates/gateway-core/tests/engines.rs
+++ b/crates/gateway-core/tests/engines.rs
@@ -186,10 +186,10 @@
     let home = pick(&picker, now, &directory, Some(77), &[]).expect("there are engines");
     for _ in 0..3 {
         assert_eq!(pick(&picker, now, &directory, Some(77), &[]), Some(home.clone()));
-        picker.on_start(now, &BackEndName::new(&home), None);
+        picker.on_sent(now, &BackEndName::new(&home), None);
     }
     for _ in 0..20 {
-        picker.on_start(now, &BackEndName::new(&home), None);
+        picker.on_sent(now, &BackEndName::new(&home), None);
     }
     assert_ne!(pick(&picker, now, &directory, Some(77), &[]), Some(home.clone()));
 }
@@ -201,8 +201,8 @@
     let mut picker = EnginePicker::new("jetty".into());
     let failing = directory.get(&BackEndName::new("e1")).expect("the engine is known").clone();
     for _ in 0..6 {
-        picker.on_start(now, &failing.notice.engine, None);
-        picker.on_request_end(now, &failing, None, AttemptEnd::Interrupted);
+        picker.on_sent(now, &failing.notice.engine, None);
+        picker.on_attempt_end(now, &failing, None, AttemptEnd::Interrupted);
     }
     for prefix_hash in 0..40 {
         assert_eq!(pick(&picker, now, &directory, Some(prefix_hash), &[]).as_deref(), Some("e2"));
@@ -219,8 +219,8 @@
     let directory = directory(now, &["e1"]);
     let mut picker = EnginePicker::new("jetty".into());
     let only = directory.get(&BackEndName::new("e1")).expect("the engine is known").clone();
-    picker.on_start(now, &only.notice.engine, None);
-    picker.on_request_end(now, &only, None, AttemptEnd::Unreachable);
+    picker.on_sent(now, &only.notice.engine, None);
+    picker.on_attempt_end(now, &only, None, AttemptEnd::Unreachable);
     assert_eq!(pick(&picker, now, &directory, None, &[]).as_deref(), Some("e1"));
 }
 
@@ -231,8 +231,8 @@
     let mut picker = EnginePicker::new("jetty".into());
     for engine in ["e1x", "e2x", "e3x"] {
         let record = directory.get(&BackEndName::new(engine)).expect("the engine is known").clone();
-        picker.on_start(now, &record.notice.engine, None);
-        picker.on_request_end(now, &record, None, AttemptEnd::Unreachable);
+        picker.on_sent(now, &record.notice.engine, None);
+        picker.on_attempt_end(now, &record, None, AttemptEnd::Unreachable);
     }
     for prefix_hash in 0..40 {
         assert_eq!(pick(&picker, now, &directory, Some(prefix_hash), &[]).as_deref(), Some("e5"));
@@ -285,8 +285,8 @@
     let mut picker = EnginePicker::new("jetty".into());
     assert_eq!(pick(&picker, now, &directory, None, &[]).as_deref(), Some("e2"));
     let silent = directory.get(&BackEndName::new("e1")).expect("the engine is known").clone();
-    picker.on_start(now, &silent.notice.engine, None);
-    picker.on_request_end(now, &silent, None, AttemptEnd::Responded);
+    picker.on_sent(now, &silent.notice.engine, None);
+    picker.on_attempt_end(now, &silent, None, AttemptEnd::Responded);
     let used =
         (0..40).any(|s| pick(&picker, now, &directory, Some(s), &[]).as_deref() == Some("e1"));
     assert!(used, "an engine that responds is good even if it is not announced");
--- a/crates/gateway-core/tests/placement.rs
+++ b/crates/gateway-core/tests/placement.rs
@@ -61,7 +61,7 @@
     work: GenerationWork,
 ) -> EngineChoice {
     let choice = pick(picker, now, directory, prefix_hash, work);
-    picker.on_start(now, &choice.engine.notice.engine, choice.placement.as_ref());
+    picker.on_sent(now, &choice.engine.notice.engine, choice.placement.as_ref());
     choice
 }
 
@@ -86,7 +86,7 @@
     let mut picker = EnginePicker::new("hall".into());
     let home = pick(&picker, START, &directory, 7, work(100, 300));
     let engine = home.engine.notice.engine.clone();
-    let long = EngineLoadUpdate { pending_prefill: 60_000, ..EngineLoadUpdate::default() };
+    let long = EngineLoadUpdate { new_prefill: 60_000, ..EngineLoadUpdate::default() };
     picker.on_peer_update(START, 1, engine.clone(), &long);
     let moved = pick(&picker, START, &directory, 7, work(100, 300));
     assert_ne!(moved.engine.notice.engine, engine);
@@ -118,7 +118,7 @@
     let next = pick(&picker, later, &directory, 7, work(100, 300));
     assert_ne!(name(&next), name(&overdue));
     let sent = overdue.placement.as_ref();
-    picker.on_request_end(later, &overdue.engine, sent, AttemptEnd::Abandoned);
+    picker.on_attempt_end(later, &overdue.engine, sent, AttemptEnd::Abandoned);
     let again = pick(&picker, later, &directory, 7, work(100, 300));
     assert_eq!(name(&again), name(&overdue), "no first event is outstanding there");
 }
@@ -139,7 +139,7 @@
         load.on_sent(now, None, &sent);
         now = now + Millis(elapsed);
         load.on_first_event(now, None, &estimate, Millis(elapsed));
-        load.on_request_end(&generation, &estimate);
+        load.on_attempt_end(&generation, &estimate);
         now = now + Millis(5_000);
     };
     for _ in 0..60 {
@@ -183,8 +183,8 @@
     assert!(updates[0].1.running > 0.0);
     assert_eq!(picker.unreported(&engine), Tokens::ZERO);
     assert!(picker.take_updates(true).is_empty(), "no unreported tokens to prefill");
-    assert_eq!(picker.take_updates(false)[0].1.pending_prefill, 0, "already reported");
-    picker.on_request_end(START, &sent.engine, sent.placement.as_ref(), AttemptEnd::Responded);
+    assert_eq!(picker.take_updates(false)[0].1.new_prefill, 0, "already reported");
+    picker.on_attempt_end(START, &sent.engine, sent.placement.as_ref(), AttemptEnd::Responded);
     assert_eq!(picker.take_updates(false)[0].1.running, 0.0);
     assert!(picker.take_updates(false).is_empty(), "everything has been reported");
 }
@@ -204,7 +204,7 @@
     let mut picker = EnginePicker::new("hall".into());
     let mut sender = EnginePicker::new("hall".into());
     let choice = pick(&sender, START, &directory(&["e1"]), 1, work(0, 1_000));
-    sender.on_start(START, &choice.engine.notice.engine, choice.placement.as_ref());
+    sender.on_sent(START, &choice.engine.notice.engine, choice.placement.as_ref());
     let (_, update) = sender.take_updates(false).pop().expect("an update is due");
     for number in 0..10_000 {
         picker.on_peer_update(START, 7, BackEndName::new(format!("x{number}")), &update);
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -151,7 +151,7 @@
             let now = self.router.now();
             self.router.metrics.on_attempt_end(end);
             let sent = self.placement.as_ref();
-            self.router.picker.borrow_mut().on_request_end(now, &self.engine, sent, end);
+            self.router.picker.borrow_mut().on_attempt_end(now, &self.engine, sent, end);
         }
     }
 }
@@ -238,7 +238,7 @@
             AttemptResult::NotRun
         }
         ResponseClass::WrongEngine => {
-            log_end(payload, &attempt, "answer", "another engine answered at this address");
+            log_end(payload, &attempt, "answer", "another engine responded at this address");
             attempt.finish(AttemptEnd::Unreachable, None);
             AttemptResult::NotRun
         }
--- a/crates/gateway/src/connection_pool.rs
+++ b/crates/gateway/src/connection_pool.rs
@@ -65,7 +65,6 @@
 }
 
 impl ConnectionPool {
-    /// An empty pool.
     pub fn new(clock: MachineClock) -> Self {
         Self { clock, idle: RefCell::default() }
     }
--- a/crates/gateway/src/decision_log.rs
+++ b/crates/gateway/src/decision_log.rs
@@ -256,7 +256,7 @@
         since_arrival_ms = since_arrival_ms,
         took_ms = took.as_millis() as u64,
         expected_ms = estimate.first_event_ms as u64,
-        to_read = estimate.pending_prefill as u64,
+        to_read = estimate.prompt_prefill as u64,
         ahead = estimate.queued_prefill as u64,
         running = estimate.running,
         long_readings = estimate.long_prefill_share,
--- a/crates/gateway/src/fleet_link.rs
+++ b/crates/gateway/src/fleet_link.rs
@@ -168,7 +168,7 @@
                 _ = eviction.tick() => {
                     self.evict_old();
                     self.router.release_unowned_tokens();
-                    self.router.revalidate_old_rates();
+                    self.router.revalidate_stale_rates();
                     self.router.crash_tracker.borrow_mut().resend_recent(self.router.now());
                     self.report_crashes();
                     let router = &self.router;
@@ -256,7 +256,7 @@
             }
             FleetMessage::SettleLoan { token, used } => self.on_loan_settled(link, token, used),
             FleetMessage::SilentEngines { version, engines } => {
-                self.versions_of(link, |versions| versions.silent = version);
+                self.update_versions(link, |versions| versions.silent = version);
                 self.on_silent_engines(link, engines);
             }
             FleetMessage::Quarantined(notice) => {
@@ -267,7 +267,7 @@
             }
             FleetMessage::Forecasts(forecasts) => *self.router.forecasts.borrow_mut() = forecasts,
             FleetMessage::Routers { version, all, peers } => {
-                self.versions_of(link, |versions| versions.routers = version);
+                self.update_versions(link, |versions| versions.routers = version);
                 self.on_routers(link, &all);
                 self.exchange.set_peers(&peers);
                 *self.peers.borrow_mut() = peers;
@@ -375,7 +375,7 @@
             .collect()
     }
 
-    fn versions_of(&self, link: LinkId, change: impl FnOnce(&mut RouterVersions)) {
+    fn update_versions(&self, link: LinkId, change: impl FnOnce(&mut RouterVersions)) {
         change(self.versions.borrow_mut().entry(link).or_default());
     }
 
--- a/crates/gateway/src/fleet_link/engine_updates.rs
+++ b/crates/gateway/src/fleet_link/engine_updates.rs
@@ -18,7 +18,7 @@
     pub(super) fn on_engine_changes(&self, link: LinkId, delta: DirectoryDelta) {
         let (base, revision) = (delta.base, delta.revision);
         self.on_engines(link, delta.notices);
-        self.versions_of(link, |versions| {
+        self.update_versions(link, |versions| {
             if base <= versions.engines {
                 versions.engines = versions.engines.max(revision);
             }
--- a/crates/gateway/src/fleet_link/loan_messages.rs
+++ b/crates/gateway/src/fleet_link/loan_messages.rs
@@ -89,8 +89,8 @@
         self.mesh.send(loan.lender, &FleetMessage::SettleLoan { token: loan.token, used });
     }
 
-    pub(super) fn on_borrow_reply(&self, lender: LinkId, token: u64, answer: BorrowResult) {
-        if let Some(unwanted) = self.loans.on_reply(self.router.now(), lender, token, answer) {
+    pub(super) fn on_borrow_reply(&self, lender: LinkId, token: u64, result: BorrowResult) {
+        if let Some(unwanted) = self.loans.on_reply(self.router.now(), lender, token, result) {
             self.settle(unwanted, Tokens::ZERO);
         }
         if self.loans.has_pending() {
@@ -109,11 +109,11 @@
     ) {
         let link = self.clone();
         tokio::task::spawn_local(async move {
-            let answer = match link.stopped.get() {
+            let result = match link.stopped.get() {
                 true => BorrowResult::AskAnother,
                 false => reservation::lend(&link.router, &tenant, amount, wait).await,
             };
-            link.on_lend_result(borrower, token, tenant, amount, answer);
+            link.on_lend_result(borrower, token, tenant, amount, result);
         });
     }
 
--- a/crates/gateway/src/liveness_probe.rs
+++ b/crates/gateway/src/liveness_probe.rs
@@ -32,7 +32,7 @@
         probe.await
     }
 
-    fn accepts_requests(&self, engine: &BackEndName) -> bool {
+    fn has_not_left(&self, engine: &BackEndName) -> bool {
         let directory = self.directory.borrow();
         directory.get(engine).is_some_and(|record| record.notice.state != EngineState::Gone)
     }
@@ -46,7 +46,7 @@
                 None => false,
             };
             // Its next incarnation may have accepted the connection.
-            let is_alive = accepts && router.accepts_requests(&name);
+            let is_alive = accepts && router.has_not_left(&name);
             router.liveness_probes.running.borrow_mut().remove(&name);
             is_alive
         };
--- a/crates/gateway/src/load_exchange.rs
+++ b/crates/gateway/src/load_exchange.rs
@@ -22,8 +22,8 @@
 /// does not grow with their number: 70 routers that each sent an update at once for every 3,000
 /// tokens exceeded the capacity of their links and processors.
 const FEW_ROUTERS: u64 = 12;
-/// Largest factor by which the interval grows: an update stays valid for a little over twice the
-/// longest interval.
+/// Largest factor by which the interval grows: an update stays valid (4 s) for more than twice the
+/// longest interval (1.5 s).
 const MAX_INTERVAL_FACTOR: u64 = 6;
 /// Prompt tokens at one engine from which an update is sent at once, with few routers: fewer are
 /// prefilled before another router could send a request there because of them.
--- a/crates/gateway/src/loans.rs
+++ b/crates/gateway/src/loans.rs
@@ -36,7 +36,7 @@
     Lent(Loan),
     /// The lender could not cover the request, and the leader has allotted it nothing more for it.
     NotCovered,
-    /// No lender was reachable, or none had any tokens.
+    /// No lender was reachable, or none had enough tokens.
     NoLender,
 }
 
@@ -132,7 +132,7 @@
         let mut token = self.next_token.borrow_mut();
         *token += 1;
         let LoanRequest { tenant, amount, lenders, until, reply } = request;
-        let ask = PendingLoan {
+        let waiting = PendingLoan {
             tenant,
             amount,
             lenders: lenders.into(),
@@ -140,7 +140,7 @@
             reply,
             outstanding: None,
         };
-        self.pending.borrow_mut().insert(*token, ask);
+        self.pending.borrow_mut().insert(*token, waiting);
     }
 
     /// The queries to send now. A request whose lenders have all been asked or can't be reached
@@ -149,12 +149,14 @@
         let mut outgoing_queries = Vec::new();
         let mut ended = Vec::new();
         let mut pending = self.pending.borrow_mut();
-        for (token, ask) in pending.iter_mut().filter(|(_, ask)| ask.outstanding.is_none()) {
-            match self.next_lender(now, ask, links) {
+        for (token, waiting) in
+            pending.iter_mut().filter(|(_, waiting)| waiting.outstanding.is_none())
+        {
+            match self.next_lender(now, waiting, links) {
                 NextLender::Ask(lender, link) => {
-                    ask.outstanding = Some(Outstanding { lender, link, sent_at: now });
-                    let (tenant, amount) = (ask.tenant.clone(), ask.amount);
-                    let wait = ask.until.since(now);
+                    waiting.outstanding = Some(Outstanding { lender, link, sent_at: now });
+                    let (tenant, amount) = (waiting.tenant.clone(), waiting.amount);
+                    let wait = waiting.until.since(now);
                     outgoing_queries.push(LoanQuery {
                         to: link,
                         token: *token,
@@ -167,9 +169,9 @@
                 NextLender::None => ended.push(*token),
             }
         }
-        for ask in ended.into_iter().filter_map(|token| pending.remove(&token)) {
+        for waiting in ended.into_iter().filter_map(|token| pending.remove(&token)) {
             // The request may have given up.
-            let _ = ask.reply.send(LoanOutcome::NoLender);
+            let _ = waiting.reply.send(LoanOutcome::NoLender);
         }
         outgoing_queries
     }
@@ -177,37 +179,37 @@
     fn next_lender(
         &self,
         now: Timestamp,
-        ask: &mut PendingLoan,
+        waiting: &mut PendingLoan,
         links: &impl LenderLinks,
     ) -> NextLender {
-        while let Some(lender) = ask.lenders.front().copied() {
+        while let Some(lender) = waiting.lenders.front().copied() {
             match links.link_to(lender) {
-                Some(link) if self.has_refused(now, link, ask) => {}
+                Some(link) if self.has_refused(now, link, waiting) => {}
                 Some(link) => {
-                    ask.lenders.pop_front();
+                    waiting.lenders.pop_front();
                     return NextLender::Ask(lender, link);
                 }
                 None if links.is_connecting(lender) => return NextLender::Wait,
                 None => {}
             }
-            ask.lenders.pop_front();
+            waiting.lenders.pop_front();
         }
         NextLender::None
     }
 
-    fn has_refused(&self, now: Timestamp, link: LinkId, ask: &PendingLoan) -> bool {
+    fn has_refused(&self, now: Timestamp, link: LinkId, waiting: &PendingLoan) -> bool {
         let refused = self.refused.borrow();
-        refused.get(&(link, ask.tenant.clone())).is_some_and(|refusal| {
-            refusal.amount <= ask.amount && now.since(refusal.at) < REFUSAL_TTL
+        refused.get(&(link, waiting.tenant.clone())).is_some_and(|refusal| {
+            refusal.amount <= waiting.amount && now.since(refusal.at) < REFUSAL_TTL
         })
     }
 
     /// Removes requests that have given up. Returns the lenders that have not replied to them.
     pub fn remove_abandoned(&self, now: Timestamp) -> Vec<SocketAddr> {
         let mut unresponsive = Vec::new();
-        self.pending.borrow_mut().retain(|_, ask| {
-            let has_ended = ask.reply.is_closed();
-            let outstanding = ask.outstanding.as_ref().filter(|_| has_ended);
+        self.pending.borrow_mut().retain(|_, waiting| {
+            let has_ended = waiting.reply.is_closed();
+            let outstanding = waiting.outstanding.as_ref().filter(|_| has_ended);
             let silent = outstanding.filter(|query| now.since(query.sent_at) >= LENDER_TIMEOUT);
             unresponsive.extend(silent.map(|query| query.lender));
             !has_ended
@@ -221,10 +223,10 @@
         now: Timestamp,
         lender: LinkId,
         token: u64,
-        answer: BorrowResult,
+        result: BorrowResult,
     ) -> Option<Loan> {
         let loan = Loan { lender, token };
-        match answer {
+        match result {
             BorrowResult::Lent => match self.end(token, LoanOutcome::Lent(loan)) {
                 Ok(()) => None,
                 Err(NotWaiting) => Some(loan),
@@ -235,10 +237,10 @@
                 None
             }
             BorrowResult::AskAnother => {
-                if let Some(ask) = self.pending.borrow_mut().get_mut(&token) {
-                    ask.outstanding = None;
-                    let refusal = RefusedLoan { amount: ask.amount, at: now };
-                    self.refused.borrow_mut().insert((lender, ask.tenant.clone()), refusal);
+                if let Some(waiting) = self.pending.borrow_mut().get_mut(&token) {
+                    waiting.outstanding = None;
+                    let refusal = RefusedLoan { amount: waiting.amount, at: now };
+                    self.refused.borrow_mut().insert((lender, waiting.tenant.clone()), refusal);
                 }
                 None
             }
@@ -246,8 +248,8 @@
     }
 
     fn end(&self, token: u64, outcome: LoanOutcome) -> Result<(), NotWaiting> {
-        let ask = self.pending.borrow_mut().remove(&token).ok_or(NotWaiting)?;
-        ask.reply.send(outcome).map_err(|_| NotWaiting)
+        let waiting = self.pending.borrow_mut().remove(&token).ok_or(NotWaiting)?;
+        waiting.reply.send(outcome).map_err(|_| NotWaiting)
     }
 
     /// Records a loan that was granted.
@@ -263,9 +265,9 @@
 
     /// Handles a lost connection. Returns the loans granted over it, which will never be settled.
     pub fn on_link_down(&self, link: LinkId) -> Vec<(TenantName, Tokens)> {
-        for ask in self.pending.borrow_mut().values_mut() {
-            if ask.outstanding.as_ref().is_some_and(|outstanding| outstanding.link == link) {
-                ask.outstanding = None;
+        for waiting in self.pending.borrow_mut().values_mut() {
+            if waiting.outstanding.as_ref().is_some_and(|outstanding| outstanding.link == link) {
+                waiting.outstanding = None;
             }
         }
         self.refused.borrow_mut().retain(|(peer, _), _| *peer != link);
@@ -313,10 +315,10 @@
         lenders: Vec<SocketAddr>,
         until: Timestamp,
     ) -> LoanOutcome {
-        let (reply, answer) = oneshot::channel();
+        let (reply, outcome) = oneshot::channel();
         let tenant = tenant.clone();
         self.send(LoanCommand::Ask(LoanRequest { tenant, amount, lenders, until, reply }));
-        answer.await.unwrap_or(LoanOutcome::NoLender)
+        outcome.await.unwrap_or(LoanOutcome::NoLender)
     }
 
     /// Reports to the lender what was used.
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -15,7 +15,7 @@
 
 /// The instruments of a router.
 pub(crate) struct RouterMetrics {
-    answered: Counter<u64>,
+    responses: Counter<u64>,
     refused: Counter<u64>,
     attempts: Counter<u64>,
     resumed: Counter<u64>,
@@ -41,7 +41,6 @@
 }
 
 impl RouterMetrics {
-    /// Registers the instruments.
     pub fn new(meter: &Meter) -> Self {
         let counter = |name: &'static str, help: &'static str| {
             meter.u64_counter(name).with_description(help).build()
@@ -50,7 +49,7 @@
             meter.u64_gauge(name).with_description(help).build()
         };
         Self {
-            answered: counter("stackpost_requests_answered", "Requests with an engine's answer"),
+            responses: counter("stackpost_requests_answered", "Requests with an engine's answer"),
             refused: counter("stackpost_requests_refused", "Requests refused, by reason"),
             attempts: counter(
                 "stackpost_engine_attempts",
@@ -121,16 +120,14 @@
 
     /// Records a response of an engine that is sent to the caller.
     pub fn on_response(&self, time_to_head: Duration) {
-        self.answered.add(1, &[]);
+        self.responses.add(1, &[]);
         self.head_seconds.record(time_to_head.as_secs_f64(), &[]);
     }
 
-    /// Counts a refused request.
     pub fn on_refusal(&self, refusal: Refusal) {
         self.refused.add(1, &[KeyValue::new("reason", refusal.code())]);
     }
 
-    /// Counts the end of an attempt.
     pub fn on_attempt_end(&self, end: AttemptEnd) {
         self.attempts.add(1, &[KeyValue::new("end", end.as_str())]);
     }
@@ -151,7 +148,6 @@
         self.liveness_probes.add(1, &[KeyValue::new("engine", engine)]);
     }
 
-    /// Counts a malformed datagram.
     pub fn on_malformed_datagram(&self) {
         self.malformed_datagrams.add(1, &[]);
     }
@@ -198,12 +194,10 @@
         self.sent_after_departure.add(sent_since as u64, &[]);
     }
 
-    /// Counts settled tokens.
     pub fn on_settled(&self, tokens: u64) {
         self.tokens.add(tokens, &[]);
     }
 
-    /// Records the number of quarantined requests.
     pub fn record_quarantined(&self, requests: usize) {
         self.quarantined.record(requests as u64, &[]);
     }
--- a/crates/gateway/src/peer_socket.rs
+++ b/crates/gateway/src/peer_socket.rs
@@ -32,7 +32,6 @@
 }
 
 impl PeerSocket {
-    /// Binds a socket to `address`.
     pub async fn bind(address: SocketAddr) -> Result<Self, PeerError> {
         let listen_error = |error| PeerError::new(Step::Listen, address, error);
         let socket = UdpSocket::bind(address).await.map_err(listen_error)?;
--- a/crates/gateway/src/permits.rs
+++ b/crates/gateway/src/permits.rs
@@ -3,7 +3,7 @@
 //! While the engines' slots are enforced for a service, or its engines state rate limits, a request
 //! waits briefly for a permit instead of being sent to an engine at its limit. With engines of one
 //! slot that ask for a backoff of three seconds (twelve engines, six routers, requests of 50 ms),
-//! this keeps the backoffs and still serves the callers: figures in docs/BENCHMARKS.md.
+//! this respects the backoffs and still serves the callers: figures in docs/BENCHMARKS.md.
 
 use crate::peer_socket::{PeerDatagram, PeerSocket};
 use crate::router::Router;
--- a/crates/gateway/src/rate_exchange.rs
+++ b/crates/gateway/src/rate_exchange.rs
@@ -86,9 +86,9 @@
 
     /// Compares rate limits that no response has confirmed for long with those known to their
     /// owners.
-    pub(crate) fn revalidate_old_rates(&self) {
-        let old = self.permits.permits.borrow_mut().rates_mut().take_stale(self.now());
-        for (owner, rates) in self.by_owner(old) {
+    pub(crate) fn revalidate_stale_rates(&self) {
+        let stale = self.permits.permits.borrow_mut().rates_mut().take_stale(self.now());
+        for (owner, rates) in self.by_owner(stale) {
             self.send_rates(owner, &rates, true);
         }
     }
--- a/crates/gateway/src/refusal.rs
+++ b/crates/gateway/src/refusal.rs
@@ -8,8 +8,8 @@
 /// Time within which a restarted router usually has its configuration: 0.5 to 0.7 s after a power
 /// failure of all machines.
 const CONFIGURED_WITHIN: Millis = Millis(700);
-/// Time after which an unreachable leader is usually back or replaced; an earlier retry would find
-/// the same balances and be refused again.
+/// Retry delay while the leader is unreachable. It is seldom back or replaced sooner; an earlier
+/// retry would find the same balances and be refused again.
 const LEADER_BACK_WITHIN: Millis = Millis(3_000);
 
 /// The leader plans budgets four times a second, and its allotments arrive within one more round:
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -25,10 +25,10 @@
 
 type ChunkSender = mpsc::Sender<Result<Bytes, TruncatedBody>>;
 
-/// The stream ended before its first event.
+/// The stream was interrupted, or the deadline passed, before its first event.
 pub(crate) struct NoFirstEvent;
 
-/// A stream whose first event was received.
+/// A stream whose first event was received, or which ended without one.
 pub(crate) struct StartedStream {
     head: response::Parts,
     source: StreamSource,
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -125,7 +125,7 @@
 ) -> Result<Response<GatewayBody>, Refusal> {
     let table = router.table().ok_or(Refusal::NotConfigured)?;
     let (route, tenant) = admit(&router, &table, &head, caller.key.as_deref())?;
-    if router.rejects_new_requests() {
+    if router.refuses_new_requests() {
         return Err(Refusal::Stopping);
     }
     let (route, tenant) = (route.clone(), tenant.cloned());
--- a/crates/gateway/src/router.rs
+++ b/crates/gateway/src/router.rs
@@ -207,7 +207,7 @@
     /// Records that a request is about to be sent to an engine.
     pub fn on_placed(&self, engine: &BackEndName, placement: Option<&Placement>) {
         let mut picker = self.picker.borrow_mut();
-        picker.on_start(self.now(), engine, placement);
+        picker.on_sent(self.now(), engine, placement);
         if self.permits.is_rate_limited(engine) {
             self.metrics.on_sent_to_rate_limited();
         }
@@ -279,17 +279,17 @@
         self.draining_since.get().is_some()
     }
 
-    /// Whether a planned shutdown has advanced so far that a stream which begins now might be cut
-    /// off. The platform has had time to notice it; a caller that still connects is better served
-    /// elsewhere.
-    pub(crate) fn rejects_new_requests(&self) -> bool {
+    /// Whether a planned shutdown has advanced so far that a stream which begins now might be
+    /// interrupted. The platform has had time to notice it; a caller that still connects is better
+    /// served elsewhere.
+    pub(crate) fn refuses_new_requests(&self) -> bool {
         self.draining_since
             .get()
             .is_some_and(|since| self.clock.since(since) >= ACCEPT_WHILE_DRAINING)
     }
 
-    /// Whether the leader has been heard recently enough that its latest state can be taken as
-    /// current.
+    /// Whether the last contact with the leader is recent enough that its latest state can be taken
+    /// as current.
     pub fn is_connected_to_leader(&self) -> bool {
         let now = self.now();
         self.leader_contact_at.get().is_some_and(|at| now.since(at) < LEADER_CONTACT_TIMEOUT)
--- a/crates/gateway/tests/fleet/crashing_requests.rs
+++ b/crates/gateway/tests/fleet/crashing_requests.rs
@@ -4,7 +4,7 @@
 //! 16 seconds, 13 to 23 engines crashed, with the streams of all other callers there. The same
 //! request arrived about once a second, with the same path, tenant and body but a new id, over new
 //! connections and at any router. Each router knew only of its own attempts, and only until they
-//! were answered, so all twelve copies sent to two routers in turn reached an engine.
+//! had ended, so all twelve copies sent to two routers in turn reached an engine.
 //!
 //! See `docs/incidents/2026-12-03-crashing-request.md`.
 
--- a/crates/gateway/tests/fleet/flaky_connections.rs
+++ b/crates/gateway/tests/fleet/flaky_connections.rs
@@ -10,7 +10,9 @@
 //! Second: 12 of 150 copies were refused as crashing engines, all by one router within two seconds,
 //! while the other routers served theirs. The first copy at this router was interrupted at three
 //! engines (three of a hundred are), and a lost connection counted as a crash of the engine until
-//! the leader's state took precedence over the router's own record.
+//! the leader's state took precedence over the router's own record. The engines announced
+//! themselves 0.4 s after the interruptions, and the last refusal came 2.0 s after these
+//! announcements.
 
 use crate::support::*;
 use stackpost_gateway_core::{CRASHES_TO_QUARANTINE, EngineState};
--- a/crates/gateway/tests/fleet/stated_rates.rs
+++ b/crates/gateway/tests/fleet/stated_rates.rs
@@ -1,10 +1,10 @@
 //! Engines that state a rate limit for all routers together in their responses.
 //!
-//! Guards against stated rate limits being ignored. Two of twelve engines stated 1.2 and 1.4
-//! requests per second and still received four per second, 21 requests in four seconds at one of
-//! them; nothing was refused or logged. No router read the header. Had each router applied the
-//! limit alone, eight of them would still have sent eight times as much. With a separate owner of
-//! the limit at every router, 34 requests arrived in one window.
+//! Guards against stated rate limits being ignored. Two of twelve engines were overloaded, stated
+//! 1.2 and 1.4 requests per second and still received four per second, 21 requests in four seconds
+//! at one of them; nothing was refused or logged. No router read the header. Had each router
+//! applied the limit alone, eight of them would still have sent eight times as much. With a
+//! separate owner of the limit at every router, 34 requests arrived in one window.
 //!
 //! See `docs/incidents/2026-12-03-stated-rates-exceeded.md`.
 
--- a/crates/gateway/tests/fleet/support/engine.rs
+++ b/crates/gateway/tests/fleet/support/engine.rs
@@ -184,12 +184,12 @@
     BeforeFirstEvent,
     AfterEvents,
     /// In the middle of a response that is too large to be buffered.
-    InLargeAnswer,
+    InLargeResponse,
 }
 
 impl CrashPoint {
     pub const ALL: [Self; 4] =
-        [Self::BeforeHead, Self::BeforeFirstEvent, Self::AfterEvents, Self::InLargeAnswer];
+        [Self::BeforeHead, Self::BeforeFirstEvent, Self::AfterEvents, Self::InLargeResponse];
 
     /// The path segment that causes the crash.
     pub fn path_segment(self) -> &'static str {
@@ -197,7 +197,7 @@
             Self::BeforeHead => "crash-before-head",
             Self::BeforeFirstEvent => "crash-before-first-event",
             Self::AfterEvents => "crash-after-events",
-            Self::InLargeAnswer => "crash-in-large-answer",
+            Self::InLargeResponse => "crash-in-large-answer",
         }
     }
 
@@ -222,12 +222,12 @@
             CrashPoint::BeforeHead => return std::future::pending().await,
             CrashPoint::BeforeFirstEvent => Vec::new(),
             CrashPoint::AfterEvents => first_events(0, EVENTS_BEFORE_INTERRUPTION),
-            CrashPoint::InLargeAnswer => vec![Ok(Frame::data(LARGE_BODY.into()))],
+            CrashPoint::InLargeResponse => vec![Ok(Frame::data(LARGE_BODY.into()))],
         };
         let unfinished = futures::stream::iter(events).chain(futures::stream::pending());
         let head = Response::builder().header("id", id).header("signature", "s");
         let head = match point {
-            CrashPoint::InLargeAnswer => head,
+            CrashPoint::InLargeResponse => head,
             _ => head.header("content-type", "text/event-stream"),
         };
         Ok(head.body(StreamBody::new(unfinished).boxed_unsync()).expect("a response"))
--- a/crates/gateway/tests/loans.rs
+++ b/crates/gateway/tests/loans.rs
@@ -44,7 +44,7 @@
 }
 
 fn ask_for(loans: &Loans, amount: u64, lenders: &[u64]) -> oneshot::Receiver<LoanOutcome> {
-    let (reply, answer) = oneshot::channel();
+    let (reply, outcome) = oneshot::channel();
     loans.ask(LoanRequest {
         tenant: tenant(),
         amount: Tokens(amount),
@@ -52,7 +52,7 @@
         until: NOW + WAIT,
         reply,
     });
-    answer
+    outcome
 }
 
 fn ask(loans: &Loans, lenders: &[u64]) -> oneshot::Receiver<LoanOutcome> {
@@ -62,7 +62,7 @@
 #[test]
 fn lenders_are_asked_in_order_until_one_lends() {
     let loans = Loans::default();
-    let mut answer = ask(&loans, &[2, 1]);
+    let mut outcome = ask(&loans, &[2, 1]);
     let first = loans.outgoing_queries(NOW, &up(&[1, 2]));
     assert_eq!((first.len(), first[0].to, first[0].amount), (1, link(2), Tokens(70)));
     assert_eq!(first[0].wait, WAIT);
@@ -72,38 +72,38 @@
     assert_eq!((second[0].to, second[0].wait), (link(1), Millis(150)));
     assert_eq!(loans.on_reply(NOW, link(1), second[0].token, BorrowResult::Lent), None);
     let loan = Loan { lender: link(1), token: second[0].token };
-    assert_eq!(answer.try_recv(), Ok(LoanOutcome::Lent(loan)));
+    assert_eq!(outcome.try_recv(), Ok(LoanOutcome::Lent(loan)));
 }
 
 #[test]
 fn not_covered_reply_ends_the_search() {
     let loans = Loans::default();
-    let mut answer = ask(&loans, &[1, 2]);
+    let mut outcome = ask(&loans, &[1, 2]);
     let query = loans.outgoing_queries(NOW, &up(&[1, 2])).remove(0);
     loans.on_reply(NOW, link(1), query.token, BorrowResult::NotCovered);
     assert!(loans.outgoing_queries(NOW, &up(&[1, 2])).is_empty());
-    assert_eq!(answer.try_recv(), Ok(LoanOutcome::NotCovered));
+    assert_eq!(outcome.try_recv(), Ok(LoanOutcome::NotCovered));
 }
 
 #[test]
 fn request_refused_by_all_lenders_gets_no_loan() {
     let loans = Loans::default();
-    let mut answer = ask(&loans, &[1, 2]);
+    let mut outcome = ask(&loans, &[1, 2]);
     let query = loans.outgoing_queries(NOW, &up(&[1])).remove(0);
     loans.on_reply(NOW, link(1), query.token, BorrowResult::AskAnother);
     let connecting = Links { up: vec![1], connecting: vec![2] };
     assert!(loans.outgoing_queries(NOW, &connecting).is_empty());
-    assert!(answer.try_recv().is_err(), "a connection is still being established");
+    assert!(outcome.try_recv().is_err(), "a connection is still being established");
     assert!(loans.outgoing_queries(NOW, &up(&[1])).is_empty());
-    assert_eq!(answer.try_recv(), Ok(LoanOutcome::NoLender));
+    assert_eq!(outcome.try_recv(), Ok(LoanOutcome::NoLender));
 }
 
 #[test]
 fn late_loan_is_returned() {
     let loans = Loans::default();
-    let answer = ask(&loans, &[1]);
+    let outcome = ask(&loans, &[1]);
     let query = loans.outgoing_queries(NOW, &up(&[1])).remove(0);
-    drop(answer);
+    drop(outcome);
     let unwanted = loans.on_reply(NOW, link(1), query.token, BorrowResult::Lent);
     assert_eq!(unwanted, Some(Loan { lender: link(1), token: query.token }));
 }
@@ -125,10 +125,10 @@
 #[test]
 fn lender_that_never_replies_is_reported() {
     let loans = Loans::default();
-    let answer = ask(&loans, &[1]);
+    let outcome = ask(&loans, &[1]);
     loans.outgoing_queries(NOW, &up(&[1]));
     assert_eq!(loans.remove_abandoned(NOW + WAIT), [], "the request is still waiting");
-    drop(answer);
+    drop(outcome);
     assert_eq!(loans.remove_abandoned(NOW + WAIT), [address(1)]);
     assert!(!loans.has_pending());
 }
@@ -136,7 +136,7 @@
 #[test]
 fn query_on_a_lost_connection_goes_to_another_router() {
     let loans = Loans::default();
-    let _answer = ask(&loans, &[1, 2]);
+    let _outcome = ask(&loans, &[1, 2]);
     assert_eq!(loans.outgoing_queries(NOW, &up(&[1, 2]))[0].to, link(1));
     loans.on_link_down(link(1));
     assert_eq!(loans.outgoing_queries(NOW, &up(&[2]))[0].to, link(2));
