--- a/crates/gateway/src/loans.rs
+++ b/crates/gateway/src/loans.rs
@@ -36,7 +36,8 @@
     Lent(Loan),
     /// The lender could not cover the request, and the leader has allotted it nothing more for it.
     NotCovered,
-    /// No lender was reachable, or none had enough tokens.
+    /// No lender was reachable, or each was stopping, or disconnected from the leader and short of
+    /// tokens.
     NoLender,
 }
 
