--- a/crates/sim/src/back_ends.rs
+++ b/crates/sim/src/back_ends.rs
@@ -23,8 +23,8 @@
 
 impl World {
     pub(crate) fn attempt(&mut self, node: NodeId, dispatch: Dispatch) {
-        let sender_has_ended = self.sender_has_ended(&Peer::Router(node.clone()));
-        if sender_has_ended {
+        let peer_has_ended = self.peer_has_ended(&Peer::Router(node.clone()));
+        if peer_has_ended {
             return;
         }
         let Dispatch { call, request, number, back_end, .. } = dispatch;
@@ -67,11 +67,11 @@
         &self,
         node: &NodeId,
         call: CallId,
-        model: bool,
+        generates: bool,
     ) -> (u64, u64) {
         let caller = self.callers.open.get(&(node.clone(), call));
         let tokens = caller.map_or(1, |caller| self.callers.records[caller].plan.tokens);
-        if model { (tokens, tokens * TOKEN_TIME_MS) } else { (0, PLAIN_TIME_MS) }
+        if generates { (tokens, tokens * TOKEN_TIME_MS) } else { (0, PLAIN_TIME_MS) }
     }
 
     pub(crate) fn report(
@@ -114,8 +114,8 @@
             return;
         }
         let caller = self.callers.open.get(&(node.clone(), call)).copied();
-        let model = is_engine(back_end);
-        let (tokens, _) = self.tokens_and_duration(&node, call, model);
+        let generates = is_engine(back_end);
+        let (tokens, _) = self.tokens_and_duration(&node, call, generates);
         let content = caller.map_or(0, |caller| caller.0);
         let counted = Usage { prompt_tokens: PROMPT_TOKENS, completion_tokens: tokens };
         let answer = StoredAnswer {
@@ -124,7 +124,7 @@
             body: Arc::new(content.to_string().into_bytes()),
             billed: Tokens::ZERO,
         };
-        let reported = model.then_some(counted);
+        let reported = generates.then_some(counted);
         let outcome = AttemptOutcome::Answered { reported, counted, answer, rest: None };
         self.report(1, node, call, number, outcome);
         if crashes {
@@ -153,7 +153,7 @@
         let usage =
             known.map(|run| Usage { prompt_tokens: PROMPT_TOKENS, completion_tokens: run.tokens });
         let node = node.clone();
-        self.schedule(2, Action::UsageAnswer { node, account, request, usage });
+        self.schedule(2, Action::UsageReply { node, account, request, usage });
     }
 
     /// Polls the platform's list for a router: once at its start, then at a fixed interval.
--- a/crates/sim/src/caller_actions.rs
+++ b/crates/sim/src/caller_actions.rs
@@ -42,7 +42,7 @@
         let Some(record) = self.callers.records.get(&id) else { return };
         let plan = record.plan.clone();
         let Some(node) = self.pick_router(&plan, record.attempts.len()) else {
-            // No router is ready: the load balancer looks again after 200 ms.
+            // The load balancer finds no ready router and looks for one again after 200 ms.
             self.schedule(200, Action::SendCallerAttempt(id));
             return;
         };
@@ -93,7 +93,7 @@
     }
 
     pub(crate) fn receive_call(&mut self, node: &NodeId, call: Call) {
-        if self.sender_has_ended(&Peer::Router(node.clone())) {
+        if self.peer_has_ended(&Peer::Router(node.clone())) {
             self.end_attempt(&(node.clone(), call.id), AttemptEnd::Lost { planned: false });
             return;
         }
@@ -157,7 +157,7 @@
 fn build_call(plan: &RequestPlan, id: CallerId, request: RequestId, call: CallId) -> Call {
     let target = if plan.plain {
         let path =
-            if plan.repeatable { fleet::REPEATABLE_PATH } else { fleet::NON_REPEATABLE_PATH };
+            if plan.repeatable { fleet::IDEMPOTENT_PATH } else { fleet::NON_IDEMPOTENT_PATH };
         Target::Plain { method: "POST".into(), path: path.into() }
     } else {
         Target::Chat {
--- a/crates/sim/src/checks.rs
+++ b/crates/sim/src/checks.rs
@@ -130,7 +130,7 @@
     check_delivered(world, &limits, add);
 }
 
-/// What engines generated for answers that reached their callers must fit the budget as well.
+/// Checks that the tokens of the responses that reached their callers fit the budgets as well.
 fn check_delivered(
     world: &World,
     limits: &BTreeMap<BudgetName, Tokens>,
--- a/crates/sim/src/effects.rs
+++ b/crates/sim/src/effects.rs
@@ -12,12 +12,12 @@
 
 impl World {
     pub(crate) fn apply_effect(&mut self, node: &NodeId, effect: Effect) {
-        let me = Peer::Router(node.clone());
+        let sender = Peer::Router(node.clone());
         if let Some(step) = Step::of_effect(&effect) {
-            self.observe_step(step, &me);
+            self.observe_step(step, &sender);
         }
         match effect {
-            Effect::Send { to, message } => self.transmit(me, to, message),
+            Effect::Send { to, message } => self.transmit(sender, to, message),
             Effect::Dispatch(dispatch) => {
                 self.history.note(
                     self.now,
@@ -101,7 +101,7 @@
         for step in Step::of_message(&message) {
             self.observe_step(step, &from);
         }
-        if self.sender_has_ended(&from) {
+        if self.peer_has_ended(&from) {
             return;
         }
         if let Some(traffic) = &mut self.traffic {
@@ -114,10 +114,10 @@
         }
     }
 
-    /// Whether the sender has ended: a fault injected at the sending of a message also loses the
-    /// message.
-    pub(crate) fn sender_has_ended(&self, from: &Peer) -> bool {
-        match from {
+    /// Whether a process has ended, or this incarnation of it. A fault injected at the sending of a
+    /// message thus also loses the message.
+    pub(crate) fn peer_has_ended(&self, peer: &Peer) -> bool {
+        match peer {
             Peer::Router(node) => self.routers.get(&node.machine).is_none_or(|process| {
                 !process.is_running() || process.node(&node.machine) != *node
             }),
--- a/crates/sim/src/fault.rs
+++ b/crates/sim/src/fault.rs
@@ -205,8 +205,8 @@
         self.schedule(after, Action::Start(ProcessId::Router(machine.clone())));
     }
 
-    /// Kills the machine and, 2.6 s later, the other machines of its zone: one of them has taken
-    /// over the account by then.
+    /// Kills the machine's router and, 2.6 s later, the other routers of its zone: one of them has
+    /// taken over the account by then.
     fn lose_second_machine(&mut self, machine: &MachineName) {
         self.kill_and_restart_router(machine, 20_000);
         for neighbour in self.neighbours(machine) {
@@ -249,8 +249,8 @@
         self.schedule(1_000, Action::Start(ProcessId::Replica(replica)));
     }
 
-    fn partition_temporarily(&mut self, cut: Cut) {
-        self.cut(cut);
+    fn partition_temporarily(&mut self, partition: Cut) {
+        self.cut(partition);
         self.schedule(FAULT_DURATION_MS, Action::Heal);
     }
 
@@ -289,7 +289,7 @@
         names[self.rng.random_range(0..names.len())].clone()
     }
 
-    /// Makes up to two engines and one plain service crash at the next request each receives.
+    /// Makes up to two engines and one plain server crash at the next request that each receives.
     fn plan_engine_crashes(&mut self, point: CrashPoint) {
         for _ in 0..2 {
             let name = self.random_engine();
--- a/crates/sim/src/fleet.rs
+++ b/crates/sim/src/fleet.rs
@@ -10,10 +10,10 @@
 pub const MODEL_SERVICE: &str = "models";
 /// The plain service.
 pub const PLAIN_SERVICE: &str = "app";
-/// A path of the plain service whose calls are not idempotent.
-pub const NON_REPEATABLE_PATH: &str = "/tickets";
-/// A path of the plain service whose calls are idempotent.
-pub const REPEATABLE_PATH: &str = "/timetable";
+/// Path of the plain service whose calls are not idempotent.
+pub const NON_IDEMPOTENT_PATH: &str = "/tickets";
+/// Path of the plain service whose calls are idempotent.
+pub const IDEMPOTENT_PATH: &str = "/timetable";
 /// Cost of one call of the plain service, in tokens.
 pub const PLAIN_COST: u64 = 20;
 
@@ -184,7 +184,7 @@
             service(ServiceKind::Model, vec![ModelName::new(MODEL)]),
         ),
         (RowKey::Service(PLAIN_SERVICE.into()), service(ServiceKind::Plain, Vec::new())),
-        (RowKey::Route("tickets".into()), route(NON_REPEATABLE_PATH, false)),
-        (RowKey::Route("timetable".into()), route(REPEATABLE_PATH, true)),
+        (RowKey::Route("tickets".into()), route(NON_IDEMPOTENT_PATH, false)),
+        (RowKey::Route("timetable".into()), route(IDEMPOTENT_PATH, true)),
     ]
 }
--- a/crates/sim/src/network.rs
+++ b/crates/sim/src/network.rs
@@ -92,7 +92,7 @@
     /// Whether messages from one zone to the other are dropped.
     pub fn zones_partitioned(&self, from: &ZoneName, to: &ZoneName) -> bool {
         from != to
-            && self.partitions.iter().any(|cut| match cut {
+            && self.partitions.iter().any(|partition| match partition {
                 Cut::Zone(zone) => from == zone || to == zone,
                 Cut::Region(zones) => zones.contains(from) != zones.contains(to),
                 Cut::IntoZone(zone) => to == zone,
@@ -108,7 +108,7 @@
             _ => false,
         };
         let replica = |peer: &Peer, machine: &MachineName| matches!(peer, Peer::Control(name) if name == machine);
-        let machine_partitioned = self.partitions.iter().any(|cut| match cut {
+        let machine_partitioned = self.partitions.iter().any(|partition| match partition {
             Cut::Machine(machine) => {
                 !same_machine && (from.machine() == machine || to.machine() == machine)
             }
--- a/crates/sim/src/world.rs
+++ b/crates/sim/src/world.rs
@@ -70,7 +70,7 @@
         number: u32,
         outcome: Box<AttemptOutcome>,
     },
-    UsageAnswer {
+    UsageReply {
         node: NodeId,
         account: AccountId,
         request: RequestId,
@@ -324,9 +324,9 @@
     }
 
     /// Partitions the network.
-    pub fn cut(&mut self, cut: Cut) {
-        self.history.note(self.now, "network", format!("partitioned: {cut:?}"));
-        self.network.partitions.push(cut);
+    pub fn cut(&mut self, partition: Cut) {
+        self.history.note(self.now, "network", format!("partitioned: {partition:?}"));
+        self.network.partitions.push(partition);
     }
 
     /// Ends all partitions and network faults, and thaws or restarts every process and back end.
@@ -383,7 +383,7 @@
                 let event = Event::Attempt { call, number, outcome: *outcome };
                 self.router_event(&node, event);
             }
-            Action::UsageAnswer { node, account, request, usage } => {
+            Action::UsageReply { node, account, request, usage } => {
                 self.router_event(&node, Event::UsageReceived { account, request, usage });
             }
             Action::SendCallerAttempt(caller) => self.send_caller_attempt(caller),
@@ -412,7 +412,7 @@
             | Action::CallerGone { node, .. }
             | Action::Attempt { node, .. }
             | Action::Report { node, .. }
-            | Action::UsageAnswer { node, .. } => ProcessId::Router(node.machine.clone()),
+            | Action::UsageReply { node, .. } => ProcessId::Router(node.machine.clone()),
             Action::PlatformRead { machine, .. } => ProcessId::Router(machine.clone()),
             Action::ReceiveEdit { replica, .. } => ProcessId::Replica(replica.clone()),
             _ => return None,
--- a/crates/table/src/row.rs
+++ b/crates/table/src/row.rs
@@ -177,7 +177,7 @@
     pub retry_permille: u32,
     /// Consecutive failures after which a back end is ejected.
     pub eject_after_failures: u32,
-    /// Duration of the first ejection. It doubles at each further one.
+    /// Duration of the first ejection. It doubles at each further consecutive one, up to a limit.
     pub eject_ms: u64,
 }
 
--- a/crates/table/src/state_machine.rs
+++ b/crates/table/src/state_machine.rs
@@ -111,8 +111,8 @@
     }
 
     fn try_edit(&mut self, index: Version, edit: &Edit) -> EditOutcome {
-        let current = self.table.get_versioned(&edit.key).filter(|held| held.row.is_some());
-        let current_version = current.map(|held| held.version).unwrap_or_default();
+        let current = self.table.get_versioned(&edit.key).filter(|stored| stored.row.is_some());
+        let current_version = current.map(|stored| stored.version).unwrap_or_default();
         if current_version != edit.based_on {
             return EditOutcome::Conflict { current: current.cloned() };
         }
@@ -321,7 +321,7 @@
         self.account(account).is_ok_and(|row| row.state != AccountState::Lost)
     }
 
-    /// Issues the share of `zone` of each budget, after the zone's first account was opened.
+    /// Issues the share of `zone` of every budget of which the zone has not received any rights yet.
     fn issue_for_zone(&mut self, index: Version, zone: &ZoneName) {
         let budgets: Vec<(BudgetName, Tokens)> = self
             .table
--- a/crates/table/src/store.rs
+++ b/crates/table/src/store.rs
@@ -114,7 +114,7 @@
         }
         let mut changed = Vec::new();
         for (key, versioned) in &delta.rows {
-            let known = self.rows.get(key).map(|held| held.version).unwrap_or_default();
+            let known = self.rows.get(key).map(|stored| stored.version).unwrap_or_default();
             if versioned.version > known {
                 self.insert_row(key.clone(), versioned.clone());
                 changed.push(key.clone());
@@ -143,7 +143,8 @@
     /// Updates the index of bearer keys for a tenant's row that is about to be replaced.
     fn index_tenant(&mut self, key: &RowKey, new: &Versioned) {
         let RowKey::Tenant(name) = key else { return };
-        if let Some(Row::Tenant(old)) = self.rows.get(key).and_then(|held| held.row.as_deref()) {
+        if let Some(Row::Tenant(old)) = self.rows.get(key).and_then(|stored| stored.row.as_deref())
+        {
             for hash in &old.key_hashes {
                 self.tenant_by_key.remove(hash);
             }
--- a/crates/table/tests/edits.rs
+++ b/crates/table/tests/edits.rs
@@ -43,8 +43,8 @@
     assert_eq!(outcome(&mut state_machine, 1, &edit("a", key(), 0, zone(1))), accepted(1));
     assert_eq!(outcome(&mut state_machine, 2, &edit("b", key(), 1, zone(2))), accepted(2));
     let current = Some(Versioned { version: Version(2), row: zone(2).map(Into::into) });
-    let lost = outcome(&mut state_machine, 3, &edit("c", key(), 1, zone(2)));
-    assert_eq!(lost, EditOutcome::Conflict { current });
+    let conflicting = outcome(&mut state_machine, 3, &edit("c", key(), 1, zone(2)));
+    assert_eq!(conflicting, EditOutcome::Conflict { current });
     // A resent edit gets its first outcome, also after a snapshot.
     let mut restored = StateMachine::from_snapshot(&state_machine.to_snapshot()).expect("restores");
     assert_eq!(restored, state_machine);
--- a/crates/transport/src/inbox.rs
+++ b/crates/transport/src/inbox.rs
@@ -1,4 +1,4 @@
-//! The receiving side.
+//! Receives batches of messages from other processes.
 
 use crate::{Fleet, MAX_BATCH_BYTES};
 use futures::StreamExt;
--- a/crates/transport/src/outbox.rs
+++ b/crates/transport/src/outbox.rs
@@ -1,4 +1,4 @@
-//! Sending of messages.
+//! Queues messages by peer address and sends them in batches.
 
 use crate::{DELIVERY_TIMEOUT, FleetClient, MAX_BATCH_BYTES};
 use stackpost_protocol::{Message, MessageBatch, Peer};
@@ -15,7 +15,7 @@
 
 /// Messages that may be queued for one peer. Further ones are dropped.
 const QUEUE_CAPACITY: usize = 4_096;
-/// Largest number of messages that are sent together.
+/// Largest number of messages that are taken from a queue at once, for one or more batches.
 const MESSAGES_PER_BATCH: usize = 256;
 /// Delay after a failed connection attempt.
 const RECONNECT_DELAY: Millis = Millis(100);
